--- a/fulmarseam/consensus/__init__.py
+++ b/fulmarseam/consensus/__init__.py
@@ -12,7 +12,7 @@
 
 from fulmarseam import wire
 from fulmarseam.consensus._core_types import Role
-from fulmarseam.consensus._interface import Discovery
+from fulmarseam.consensus._interface import DiscoverySettings
 from fulmarseam.consensus._interface import Machine
 from fulmarseam.consensus._interface import MemberSettings
 from fulmarseam.consensus._interface import MemberStatus
@@ -28,7 +28,7 @@
 
 __all__ = [
     'PEER_MESSAGES',
-    'Discovery',
+    'DiscoverySettings',
     'Machine',
     'Member',
     'MemberSettings',
--- a/fulmarseam/consensus/_discovery.py
+++ b/fulmarseam/consensus/_discovery.py
@@ -87,7 +87,7 @@
 
     def __init__(
         self,
-        discovery: _interface.Discovery,
+        discovery: _interface.DiscoverySettings,
         me: wire.MemberInfo,
         candidates: Candidates,
     ) -> None:
--- a/fulmarseam/consensus/_interface.py
+++ b/fulmarseam/consensus/_interface.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Discovery:
+class DiscoverySettings:
     """How members find each other where no list of members is given.
 
     `seeds` are the addresses of some members, which may be out of date
@@ -65,7 +65,7 @@
     election_max_s: float = 1.2
     clock_drift: float = 0.01
     snapshot_every: int = 5_000
-    discovery: Discovery | None = None
+    discovery: DiscoverySettings | None = None
 
     @classmethod
     def from_control(
--- a/fulmarseam/consensus/_runtime.py
+++ b/fulmarseam/consensus/_runtime.py
@@ -110,7 +110,9 @@
             if repair is not None:
                 repair.cancel()
 
-    async def _keep_repaired(self, discovery: _interface.Discovery) -> None:
+    async def _keep_repaired(
+        self, discovery: _interface.DiscoverySettings
+    ) -> None:
         """Replace lost members while this one leads."""
         silences = _repair.Silences()
         while True:
--- a/fulmarseam/consensus/_runtime_group.py
+++ b/fulmarseam/consensus/_runtime_group.py
@@ -109,7 +109,7 @@
         else:
             await self._discover(self._settings.discovery)
 
-    async def _discover(self, discovery: _interface.Discovery) -> None:
+    async def _discover(self, discovery: _interface.DiscoverySettings) -> None:
         if self.identity.founding is not None:
             return
         me = wire.MemberInfo(
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -159,7 +159,7 @@
                 members={},
                 election_min_s=ELECTION_MIN_S,
                 election_max_s=ELECTION_MAX_S,
-                discovery=consensus.Discovery(
+                discovery=consensus.DiscoverySettings(
                     host=options.host,
                     seeds=self._seeds,
                     wanted_voters=options.wanted_voters,
