--- a/fulmarseam/consensus/_runtime.py
+++ b/fulmarseam/consensus/_runtime.py
@@ -159,7 +159,7 @@
             return
         _log.info(telemetry.format_event(event, member=member))
 
-    async def wait_retired(self) -> None:
+    async def wait_removed(self) -> None:
         """Return when the group has removed this member for good.
 
         A member that was cut off learns of it from the others, as nobody
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -177,7 +177,7 @@
 
     async def _wait_for_end(self, member: consensus.Member) -> None:
         failed = asyncio.ensure_future(member.wait_failed())
-        retired = asyncio.ensure_future(member.wait_retired())
+        retired = asyncio.ensure_future(member.wait_removed())
         try:
             await asyncio.wait(
                 (failed, retired), return_when=asyncio.FIRST_COMPLETED
