--- a/fulmarseam/consensus/_core.py
+++ b/fulmarseam/consensus/_core.py
@@ -36,7 +36,7 @@
         self._state = _core_state.load_state(config, durable, rng, now)
 
     def tick(self, now: float) -> _core_types.Effects:
-        """Do what is due; call it at `wake_at` at the latest."""
+        """Do what is due; call it at `next_tick_at` at the latest."""
         effects = _core_types.Effects()
         if self._state.leads:
             _core_leader.tick(self._state, now, effects)
@@ -44,7 +44,7 @@
             _core_election.tick(self._state, now, effects)
         return effects
 
-    def wake_at(self) -> float:
+    def next_tick_at(self) -> float:
         """Return when the next tick is due."""
         if self._state.leads:
             return self._state.heartbeat_at
--- a/fulmarseam/consensus/_runtime_driver.py
+++ b/fulmarseam/consensus/_runtime_driver.py
@@ -165,7 +165,7 @@
         One pass of the event loop follows, so that everything that became
         ready meanwhile shares the next sync.
         """
-        delay = replica.wake_at() - time.monotonic()
+        delay = replica.next_tick_at() - time.monotonic()
         if delay > 0 and not self.inputs.has_any():
             timer = asyncio.get_running_loop().call_later(
                 delay, self._wake.set
@@ -187,7 +187,7 @@
         for change in inputs.changes:
             self._propose_change(replica, now, change, effects)
         self._confirm(replica, now, inputs.confirmations, effects)
-        if now >= replica.wake_at():
+        if now >= replica.next_tick_at():
             effects.append(replica.tick(now))
         self._storage.write(
             [record for part in effects for record in part.records]
--- a/tests/consensus_simulation.py
+++ b/tests/consensus_simulation.py
@@ -176,13 +176,13 @@
     def _schedule_tick(self, node: Node) -> None:
         assert node.replica is not None
         starts = node.starts
-        due = max(node.replica.wake_at() / node.rate, self.now)
+        due = max(node.replica.next_tick_at() / node.rate, self.now)
 
         def tick() -> None:
             if node.replica is None or node.starts != starts:
                 return
-            if self.clock(node) + 1e-9 >= node.replica.wake_at():
-                moment = max(self.clock(node), node.replica.wake_at())
+            if self.clock(node) + 1e-9 >= node.replica.next_tick_at():
+                moment = max(self.clock(node), node.replica.next_tick_at())
                 self._carry_out(node, node.replica.tick(moment))
             if node.replica is not None:
                 self._schedule_tick(node)
--- a/tests/test_consensus_core.py
+++ b/tests/test_consensus_core.py
@@ -411,7 +411,7 @@
             random.Random(1),
             0.0,
         )
-        self.now = self.replica.wake_at()
+        self.now = self.replica.next_tick_at()
         self.replica.tick(self.now)
         for term, pre_vote in ((2, True), (3, False)):
             vote = wire.VoteResponse(
@@ -448,9 +448,9 @@
 
     def test_age_counts_from_the_round_that_was_answered(self) -> None:
         self.answer(self.now, 3, 1, 3)
-        answered = self.replica.wake_at()
+        answered = self.replica.next_tick_at()
         self.replica.tick(answered)
-        later = self.replica.wake_at()
+        later = self.replica.next_tick_at()
         self.replica.tick(later)
         self.answer(later, 3, 2, 3)
         age = self.replica.leadership_age(later)
