--- a/fulmarseam/consensus/_core.py
+++ b/fulmarseam/consensus/_core.py
@@ -95,7 +95,7 @@
         _core_leader.propose(self._state, now, commands, effects)
         return effects
 
-    def confirm(self, now: float) -> _core_types.Effects:
+    def confirm_leadership(self, now: float) -> _core_types.Effects:
         """Start a round; `confirmed_round` tells when it is confirmed.
 
         Raises `errors.NotLeaderError`.
--- a/fulmarseam/consensus/_runtime_driver.py
+++ b/fulmarseam/consensus/_runtime_driver.py
@@ -264,7 +264,7 @@
         if not waiting:
             return
         try:
-            result = replica.confirm(now)
+            result = replica.confirm_leadership(now)
         except errors.NotLeaderError as error:
             for future in waiting:
                 _runtime_inputs.reject(future, error)
--- a/tests/consensus_simulation.py
+++ b/tests/consensus_simulation.py
@@ -288,7 +288,7 @@
         """Start a confirmed read."""
         if node.replica is None or node.replica.role is not LEADER:
             return
-        effects = node.replica.confirm(self.clock(node))
+        effects = node.replica.confirm_leadership(self.clock(node))
         term = node.replica.term
         self._confirming.append(
             (node.name, term, effects.round, self.acknowledged)
