--- a/fulmarseam/consensus/__init__.py
+++ b/fulmarseam/consensus/__init__.py
@@ -1,6 +1,6 @@
 """The replicated log of the control group.
 
-A `Member` replicates the commands of a `Machine` to the other members of
+A `Member` replicates the commands of a `StateMachine` to the other members of
 its group. Messages of the types in `PEER_MESSAGES` belong to `handle`::
 
     member = consensus.Member(
@@ -13,9 +13,9 @@
 from fulmarseam import wire
 from fulmarseam.consensus._core_types import Role
 from fulmarseam.consensus._interface import DiscoverySettings
-from fulmarseam.consensus._interface import Machine
 from fulmarseam.consensus._interface import MemberSettings
 from fulmarseam.consensus._interface import MemberStatus
+from fulmarseam.consensus._interface import StateMachine
 from fulmarseam.consensus._runtime import Member
 from fulmarseam.consensus._storage import assign_member_id
 from fulmarseam.consensus._storage import clear_directory
@@ -29,7 +29,7 @@
 __all__ = [
     'PEER_MESSAGES',
     'DiscoverySettings',
-    'Machine',
+    'StateMachine',
     'Member',
     'MemberSettings',
     'MemberStatus',
--- a/fulmarseam/consensus/_interface.py
+++ b/fulmarseam/consensus/_interface.py
@@ -10,7 +10,7 @@
 from fulmarseam.consensus import _core_types
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """The state that the log replicates.
 
     All methods are deterministic and are called on the event loop. A
--- a/fulmarseam/consensus/_runtime.py
+++ b/fulmarseam/consensus/_runtime.py
@@ -52,7 +52,7 @@
     def __init__(
         self,
         settings: _interface.MemberSettings,
-        machine: _interface.Machine,
+        machine: _interface.StateMachine,
     ) -> None:
         self._settings = settings
         self._me = settings.member_id
--- a/fulmarseam/consensus/_runtime_driver.py
+++ b/fulmarseam/consensus/_runtime_driver.py
@@ -39,7 +39,7 @@
     def __init__(
         self,
         settings: _interface.MemberSettings,
-        machine: _interface.Machine,
+        machine: _interface.StateMachine,
         storage: _storage.Storage,
     ) -> None:
         self._settings = settings
