--- a/fulmarseam/consensus/_core_state.py
+++ b/fulmarseam/consensus/_core_state.py
@@ -139,7 +139,7 @@
     """Return the state of a replica that starts now."""
     snapshot = durable.snapshot
     index = snapshot.meta.index if snapshot else 0
-    members = snapshot.meta.members if snapshot else durable.founding
+    members = snapshot.meta.members if snapshot else durable.initial_members
     history = _core_members.MemberHistory(index, members)
     history.note(entry for entry in durable.entries if entry.index > index)
     state = State(
--- a/fulmarseam/consensus/_core_types.py
+++ b/fulmarseam/consensus/_core_types.py
@@ -112,7 +112,7 @@
     when it is not 0.
     """
 
-    founding: wire.GroupMembers
+    initial_members: wire.GroupMembers
     term: int = 0
     vote: ids.MemberId | None = None
     base_index: int = 0
--- a/fulmarseam/consensus/_storage_replay.py
+++ b/fulmarseam/consensus/_storage_replay.py
@@ -102,7 +102,7 @@
             base = (covered, snapshot.meta.term)
             entries = []
         return _core_types.DurableState(
-            founding=founding,
+            initial_members=founding,
             term=self._term.term,
             vote=self._term.vote,
             base_index=base[0],
--- a/tests/test_consensus_storage.py
+++ b/tests/test_consensus_storage.py
@@ -289,7 +289,7 @@
         directory = self.directory / str(seed)
         storage = _storage.Storage(str(directory), 'n0')
         self.addCleanup(storage.close)
-        founding = wire.Founding(group='g', members=disk.state.founding)
+        founding = wire.Founding(group='g', members=disk.state.initial_members)
         storage.bind(storage.open('s'), founding)
         storage.load(founding)
         write = disk.write
