--- a/fulmarseam/consensus/__init__.py
+++ b/fulmarseam/consensus/__init__.py
@@ -17,8 +17,8 @@
 from fulmarseam.consensus._interface import MemberStatus
 from fulmarseam.consensus._interface import StateMachine
 from fulmarseam.consensus._runtime import Member
-from fulmarseam.consensus._storage import assign_member_id
 from fulmarseam.consensus._storage import clear_directory
+from fulmarseam.consensus._storage import load_or_assign_member_id
 from fulmarseam.consensus._storage import StorageFailedError
 
 PEER_MESSAGES = (
@@ -35,6 +35,6 @@
     'MemberStatus',
     'Role',
     'StorageFailedError',
-    'assign_member_id',
+    'load_or_assign_member_id',
     'clear_directory',
 ]
--- a/fulmarseam/consensus/_storage.py
+++ b/fulmarseam/consensus/_storage.py
@@ -41,7 +41,7 @@
 _identity_decoder = msgspec.json.Decoder(_IdentityFile)
 
 
-def assign_member_id(directory: str, host: ids.HostId) -> ids.MemberId:
+def load_or_assign_member_id(directory: str, host: ids.HostId) -> ids.MemberId:
     """Return the id of the member that `directory` belongs to.
 
     A new directory gets an id that no other directory ever had, so that a
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -148,7 +148,9 @@
     async def _run_member(self) -> None:
         """Return when the group has removed this member."""
         options = self._options
-        member_id = consensus.assign_member_id(options.data_dir, options.host)
+        member_id = consensus.load_or_assign_member_id(
+            options.data_dir, options.host
+        )
         self.catalog.reset()
         member = consensus.Member(
             consensus.MemberSettings(
