--- a/fulmarseam/consensus/_runtime.py
+++ b/fulmarseam/consensus/_runtime.py
@@ -52,7 +52,7 @@
     def __init__(
         self,
         settings: _interface.MemberSettings,
-        machine: _interface.Machine,
+        machine: _interface.StateMachine,
     ) -> None:
         self._settings = settings
         self._me = settings.member_id
@@ -110,7 +110,9 @@
             if repair is not None:
                 repair.cancel()
 
-    async def _keep_repaired(self, discovery: _interface.Discovery) -> None:
+    async def _keep_repaired(
+        self, discovery: _interface.DiscoverySettings
+    ) -> None:
         """Replace lost members while this one leads."""
         silences = _repair.Silences()
         while True:
@@ -157,7 +159,7 @@
             return
         _log.info(telemetry.format_event(event, member=member))
 
-    async def wait_retired(self) -> None:
+    async def wait_removed(self) -> None:
         """Return when the group has removed this member for good.
 
         A member that was cut off learns of it from the others, as nobody
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -148,7 +148,9 @@
     async def _run_member(self) -> None:
         """Return when the group has removed this member."""
         options = self._options
-        member_id = consensus.assign_member_id(options.data_dir, options.host)
+        member_id = consensus.load_or_assign_member_id(
+            options.data_dir, options.host
+        )
         self.catalog.reset()
         member = consensus.Member(
             consensus.MemberSettings(
@@ -159,7 +161,7 @@
                 members={},
                 election_min_s=ELECTION_MIN_S,
                 election_max_s=ELECTION_MAX_S,
-                discovery=consensus.Discovery(
+                discovery=consensus.DiscoverySettings(
                     host=options.host,
                     seeds=self._seeds,
                     wanted_voters=options.wanted_voters,
@@ -177,7 +179,7 @@
 
     async def _wait_for_end(self, member: consensus.Member) -> None:
         failed = asyncio.ensure_future(member.wait_failed())
-        retired = asyncio.ensure_future(member.wait_retired())
+        retired = asyncio.ensure_future(member.wait_removed())
         try:
             await asyncio.wait(
                 (failed, retired), return_when=asyncio.FIRST_COMPLETED
