--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -79,7 +79,7 @@
             lambda: float(self.synchronizer.count_bytes()),
         )
         self.peers = _peers.Peers(options, self.state)
-        self.holder = records.RecordHolder(
+        self.holder = records.RecordServer(
             options.entry_id,
             self.reporter.incarnation,
             self.state.find_record_group,
@@ -159,7 +159,7 @@
 
     def _take_change(self) -> None:
         self.lookups.forget()
-        self.holder.update(self.state.tables.rows(wire.RecordGroup))
+        self.holder.update_groups(self.state.tables.rows(wire.RecordGroup))
         self.pools.update(self._loop.time())
 
     def _take_announcement(self, report: wire.TargetReport) -> asyncio.Event:
--- a/fulmarseam/records/__init__.py
+++ b/fulmarseam/records/__init__.py
@@ -2,7 +2,7 @@
 
 Each region has a record group of two entries. An entry claims a request at
 the primary before it dispatches it; the primary answers once the backup has
-the claim, too. `RecordHolder` serves a group and `RecordClient` calls it::
+the claim, too. `RecordServer` serves a group and `RecordClient` calls it::
 
     verdict = await client.claim(key, fingerprint, attempt, timeout_s=5.0)
     if verdict.verdict is wire.Verdict.FRESH:
@@ -13,7 +13,7 @@
 from fulmarseam.records._replication import Inbox
 from fulmarseam.records._replication import Intake
 from fulmarseam.records._replication import Outbox
-from fulmarseam.records._runtime import RecordHolder
+from fulmarseam.records._runtime import RecordServer
 from fulmarseam.records._runtime_client import RecordClient
 from fulmarseam.records._storage import Journal
 from fulmarseam.records._storage import JournalEntry
@@ -34,7 +34,7 @@
     'KEPT_BODY_BYTES',
     'Outbox',
     'RecordClient',
-    'RecordHolder',
+    'RecordServer',
     'RecordKey',
     'RecordTable',
     'parse_key',
--- a/fulmarseam/records/_runtime.py
+++ b/fulmarseam/records/_runtime.py
@@ -20,20 +20,20 @@
 FindGroup = Callable[[ids.RegionName], wire.RecordGroup | None]
 
 
-class RecordHolder:
+class RecordServer:
     """Holds records of regions as primary or backup; a context manager.
 
     `find_group` returns a row of the configuration in force and
-    `is_current` says whether the configuration lease is valid. `update` is
-    called with the rows after each change of the configuration, `handle`
-    gets the messages of other entries, and `list_copies` goes into each
-    sync request. `failed` is done when the journal has failed; the process
-    must then end::
+    `is_current` says whether the configuration lease is valid.
+    `update_groups` is called with the rows after each change of the
+    configuration, `handle` gets the messages of other entries, and
+    `list_copies` goes into each sync request. `failed` is done when the
+    journal has failed; the process must then end::
 
-        holder = records.RecordHolder(
+        holder = records.RecordServer(
             entry, incarnation, find_group, is_current, peers.client, path)
         async with holder:
-            holder.update(tables.rows(wire.RecordGroup))
+            holder.update_groups(tables.rows(wire.RecordGroup))
             answer = await holder.handle(message)
     """
 
@@ -85,7 +85,7 @@
         """
         self._incarnation = incarnation
 
-    def update(self, groups: Iterable[wire.RecordGroup]) -> None:
+    def update_groups(self, groups: Iterable[wire.RecordGroup]) -> None:
         """Take the rows of the configuration in force."""
         rows = {group.name: group for group in groups}
         for region, group in rows.items():
--- a/tests/test_records_holder.py
+++ b/tests/test_records_holder.py
@@ -46,7 +46,7 @@
         self.group = records_fixtures.GROUP
         self.current = {'e0': True, 'e1': True}
         self.holders = {
-            name: records.RecordHolder(
+            name: records.RecordServer(
                 name,
                 1,
                 lambda region: self.group,
@@ -61,7 +61,7 @@
         }
         for holder in self.holders.values():
             await self.enterAsyncContext(holder)
-            holder.update([records_fixtures.GROUP])
+            holder.update_groups([records_fixtures.GROUP])
 
     async def refuse(self, name: str, message: wire.Message) -> None:
         with self.assertRaises(errors.FulmarseamError) as caught:
@@ -72,7 +72,7 @@
     def change_group(self, **fields: object) -> None:
         self.group = records_fixtures.make_group(**fields)
         for holder in self.holders.values():
-            holder.update([self.group])
+            holder.update_groups([self.group])
 
     async def test_claim_is_at_the_backup_when_it_is_answered(self) -> None:
         answer = await self.holders['e0'].handle(records_fixtures.make_claim())
@@ -345,11 +345,11 @@
         journal.close()
         self.assertEqual(['0002'], self.read())
 
-    async def start_pair(self, name: str) -> records.RecordHolder:
+    async def start_pair(self, name: str) -> records.RecordServer:
         """Return holder e0; only `name` of e0 and e1 has a journal."""
-        holders: dict[str, records.RecordHolder] = {}
+        holders: dict[str, records.RecordServer] = {}
         for entry in ('e0', 'e1'):
-            holders[entry] = records.RecordHolder(
+            holders[entry] = records.RecordServer(
                 entry,
                 1,
                 lambda region: records_fixtures.GROUP,
@@ -358,7 +358,7 @@
                 self.directory if entry == name else None,
             )
             await self.enterAsyncContext(holders[entry])
-            holders[entry].update([records_fixtures.GROUP])
+            holders[entry].update_groups([records_fixtures.GROUP])
         return holders['e0']
 
     async def test_answer_waits_for_the_sync(self) -> None:
--- a/tests/test_records_model.py
+++ b/tests/test_records_model.py
@@ -66,7 +66,7 @@
         self.group: wire.RecordGroup | None = None
         self.revision = -1
         self.confirmed_at = -100.0
-        self.holder = records.RecordHolder(
+        self.holder = records.RecordServer(
             name,
             incarnation,
             self.find_group,
@@ -108,7 +108,7 @@
                     self.confirmed_at = sent_at
                     if revision > self.revision:
                         self.revision, self.group = revision, group
-                        self.holder.update([group] if group else [])
+                        self.holder.update_groups([group] if group else [])
             await asyncio.sleep(SYNC_S)
 
 
