--- a/fulmarseam/entry/_attempts.py
+++ b/fulmarseam/entry/_attempts.py
@@ -209,7 +209,9 @@
     def _count_answer(self, piece: bytes) -> None:
         self.answer_bytes += len(piece)
         self._charge(1, len(piece))
-        if self.keep_answer and (self.answer_bytes <= records.KEPT_BODY_BYTES):
+        if self.keep_answer and (
+            self.answer_bytes <= records.MAX_STORED_BODY_BYTES
+        ):
             self._kept_body.append(piece)
 
     async def _wait_for_either(
@@ -236,7 +238,7 @@
             self._uploading = False
 
     def _keep(self, response: http.Response) -> None:
-        fits = self.answer_bytes <= records.KEPT_BODY_BYTES
+        fits = self.answer_bytes <= records.MAX_STORED_BODY_BYTES
         self.kept_answer = wire.StoredAnswer(
             response.status,
             http.drop_headers(
--- a/fulmarseam/records/__init__.py
+++ b/fulmarseam/records/__init__.py
@@ -19,7 +19,7 @@
 from fulmarseam.records._storage import JournalEntry
 from fulmarseam.records._storage import JournalFailedError
 from fulmarseam.records._table import Decision
-from fulmarseam.records._table import KEPT_BODY_BYTES
+from fulmarseam.records._table import MAX_STORED_BODY_BYTES
 from fulmarseam.records._table import parse_key
 from fulmarseam.records._table import RecordKey
 from fulmarseam.records._table import RecordTable
@@ -31,7 +31,7 @@
     'Journal',
     'JournalEntry',
     'JournalFailedError',
-    'KEPT_BODY_BYTES',
+    'MAX_STORED_BODY_BYTES',
     'Outbox',
     'RecordClient',
     'RecordServer',
--- a/fulmarseam/records/_table.py
+++ b/fulmarseam/records/_table.py
@@ -8,7 +8,7 @@
 from fulmarseam import ids
 from fulmarseam import wire
 
-KEPT_BODY_BYTES = 16 * 1024
+MAX_STORED_BODY_BYTES = 16 * 1024
 # Bodies beyond this are forgotten, oldest first, so that a busy region
 # cannot fill the memory; the record itself stays.
 KEPT_BYTES_TOTAL = 64 * 1024 * 1024
@@ -237,7 +237,7 @@
     """Return the answer without a body that is too large to keep."""
     if answer is None or answer.body is None:
         return answer
-    if len(answer.body) <= KEPT_BODY_BYTES:
+    if len(answer.body) <= MAX_STORED_BODY_BYTES:
         return answer
     return wire.StoredAnswer(answer.status, answer.headers, None)
 
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -380,7 +380,7 @@
         self.assertEqual(('finish', b'ok'), (name, stored.body))
 
     async def test_large_answer_is_marked_as_not_kept(self) -> None:
-        body = b'a' * (records.KEPT_BODY_BYTES + 1)
+        body = b'a' * (records.MAX_STORED_BODY_BYTES + 1)
         head = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % len(body)
         await self.start_target(fakes.answer_always(head + body))
         answer = await self.post()
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -139,7 +139,7 @@
 
     def test_large_bodies_are_not_kept(self) -> None:
         self.claim(0.0, 'a')
-        body = b'x' * (records.KEPT_BODY_BYTES + 1)
+        body = b'x' * (records.MAX_STORED_BODY_BYTES + 1)
         self.table.finish(
             0.1,
             records_fixtures.make_finish(
