--- a/fulmarseam/commands/_ctl_tables.py
+++ b/fulmarseam/commands/_ctl_tables.py
@@ -47,14 +47,15 @@
 
 
 def _convert_tables(found: Any, problems: list[str]) -> Rows:
-    known = ', '.join(sorted(table.value for table in store.EDITABLE))
+    known = ', '.join(sorted(table.value for table in store.EDITABLE_TABLES))
     if not isinstance(found, Mapping):
         problems.append(f'found no mapping, expected tables: {known}')
         return {}
     tables: Rows = {}
     for name, rows in found.items():
         table = next(
-            (item for item in store.EDITABLE if item.value == name), None
+            (item for item in store.EDITABLE_TABLES if item.value == name),
+            None,
         )
         if table is None:
             problems.append(f'{name}: found no such table, expected {known}')
--- a/fulmarseam/store/__init__.py
+++ b/fulmarseam/store/__init__.py
@@ -21,7 +21,7 @@
 from fulmarseam.store._results import EditResults
 from fulmarseam.store._rows import DictRows
 from fulmarseam.store._rows import RowTable
-from fulmarseam.store._schema import EDITABLE
+from fulmarseam.store._schema import EDITABLE_TABLES
 from fulmarseam.store._schema import make_change
 from fulmarseam.store._schema import ROW_TYPES
 from fulmarseam.store._schema import TABLE_NAMES
@@ -30,7 +30,7 @@
 from fulmarseam.store._tables import Tables
 
 __all__ = [
-    'EDITABLE',
+    'EDITABLE_TABLES',
     'PLAIN_TABLES',
     'ROW_TYPES',
     'TABLE_NAMES',
--- a/fulmarseam/store/_machine.py
+++ b/fulmarseam/store/_machine.py
@@ -341,7 +341,7 @@
         tables.add(wire.TableName.BLOCKS.value)
     for table in sorted(tables):
         name = wire.TableName(table)
-        if name not in _schema.EDITABLE:
+        if name not in _schema.EDITABLE_TABLES:
             yield f'{table}: is maintained by the control leader'
         elif name not in edit.base:
             yield f'{table}: found no base version, expected one'
--- a/fulmarseam/store/_schema.py
+++ b/fulmarseam/store/_schema.py
@@ -17,7 +17,7 @@
 TABLE_NAMES: dict[type[Any], wire.TableName] = {
     row_type: table for table, row_type in ROW_TYPES.items()
 }
-EDITABLE = frozenset(ROW_TYPES) - {
+EDITABLE_TABLES = frozenset(ROW_TYPES) - {
     wire.TableName.RECORD_GROUPS,
     wire.TableName.REGISTRATIONS,
 }
--- a/tests/test_configuration_page.py
+++ b/tests/test_configuration_page.py
@@ -64,7 +64,7 @@
 
     def test_every_field_of_a_row_is_listed(self) -> None:
         words = find_words(PAGE.partition('## Tables')[2])
-        for table in store.EDITABLE:
+        for table in store.EDITABLE_TABLES:
             fields = set(store.ROW_TYPES[table].__struct_fields__)
             if table is wire.TableName.LINKS:
                 fields -= {'from_region', 'to_region'}
