--- a/fulmarseam/control/_admin.py
+++ b/fulmarseam/control/_admin.py
@@ -80,7 +80,9 @@
         plain = [name for name in names if name in store.PLAIN_TABLES]
         return wire.TablesResponse(
             revision=tables.revision,
-            versions={name: self._machine.version(name) for name in names},
+            versions={
+                name: self._machine.table_version(name) for name in names
+            },
             changes=tables.dump(plain),
             blocks=tables.dump_blocks() if plain != names else b'',
         )
--- a/fulmarseam/store/_machine.py
+++ b/fulmarseam/store/_machine.py
@@ -64,7 +64,7 @@
         self._versions: dict[wire.TableName, TableVersion] = {}
         self._notify = notify
 
-    def version(self, table: wire.TableName) -> int:
+    def table_version(self, table: wire.TableName) -> int:
         """Return the version of a table, to base an edit on.
 
         It is the revision of the last edit of the table; steps of the
@@ -132,7 +132,7 @@
             return conflict
         changes: list[wire.Change] = []
         for change in edit.changes:
-            current = self.tables.find(change.table, change.key)
+            current = self.tables.get_row(change.table, change.key)
             merged = change
             if change.row is not None:
                 row = _transitions.merge_edit(current, change.row)
@@ -229,7 +229,7 @@
             wire.Change(
                 change.table,
                 change.key,
-                self.tables.find(change.table, change.key),
+                self.tables.get_row(change.table, change.key),
             )
             for change in changes
         ]
@@ -250,7 +250,7 @@
         changes = []
         for item in step.rows:
             change = _schema.make_change(item.row)
-            current = self.tables.find(change.table, change.key)
+            current = self.tables.get_row(change.table, change.key)
             if current != item.expected or not _transitions.check_step(
                 current, item.row
             ):
--- a/fulmarseam/store/_restoring.py
+++ b/fulmarseam/store/_restoring.py
@@ -31,7 +31,7 @@
     for change in export.changes:
         if change.row is None or isinstance(change.row, wire.Registration):
             continue
-        current = tables.find(change.table, change.key)
+        current = tables.get_row(change.table, change.key)
         wanted[change.table, change.key] = _restore_row(current, change.row)
     changes = [
         wire.Change(table, key, None)
@@ -44,7 +44,7 @@
     changes.extend(
         wire.Change(table, key, row)
         for (table, key), row in wanted.items()
-        if tables.find(table, key) != row
+        if tables.get_row(table, key) != row
     )
     return changes
 
--- a/fulmarseam/store/_tables.py
+++ b/fulmarseam/store/_tables.py
@@ -81,7 +81,7 @@
         table = self._tables[_schema.TABLE_NAMES[row_type]]
         return cast('Iterator[RowT]', table.rows())
 
-    def find(self, table: wire.TableName, key: str) -> wire.Row | None:
+    def get_row(self, table: wire.TableName, key: str) -> wire.Row | None:
         """Return the row of a table with a key."""
         return self._tables[table].get(key)
 
--- a/tests/store_fixtures.py
+++ b/tests/store_fixtures.py
@@ -84,7 +84,7 @@
         changes += [wire.Change(table, key, None) for table, key in removed]
         if base is None:
             base = {
-                change.table: self.machine.version(change.table)
+                change.table: self.machine.table_version(change.table)
                 for change in changes
             }
         return self.apply(
@@ -93,5 +93,5 @@
 
     def step(self, row: wire.Row) -> wire.EditResult:
         table = store.TABLE_NAMES[type(row)]
-        current = self.machine.tables.find(table, row.name)
+        current = self.machine.tables.get_row(table, row.name)
         return self.apply(store.Step(rows=[store.RowStep(current, row)]))
--- a/tests/test_control_steps.py
+++ b/tests/test_control_steps.py
@@ -38,7 +38,7 @@
             wire.Edit(
                 edit_id=ids.EditId(f'e{self.tables.revision}'),
                 base={
-                    table: self.machine.version(table)
+                    table: self.machine.table_version(table)
                     for table in wire.TableName
                 },
                 changes=[store.make_change(row) for row in rows],
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -329,10 +329,10 @@
         self.assertEqual(20.0, self.shift().percent)
 
     def test_step_does_not_conflict_with_edits(self) -> None:
-        version = self.group.machine.version(store_fixtures.SHIFTS)
+        version = self.group.machine.table_version(store_fixtures.SHIFTS)
         self.replace(self.shift(), state=wire.ShiftState.ACTIVE)
         self.assertEqual(
-            version, self.group.machine.version(store_fixtures.SHIFTS)
+            version, self.group.machine.table_version(store_fixtures.SHIFTS)
         )
 
     def test_cancelled_shift_stays_cancelled(self) -> None:
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -96,7 +96,7 @@
             wire.Edit(
                 edit_id=ids.EditId(edit_id),
                 base={
-                    store_fixtures.BLOCKS: self.group.machine.version(
+                    store_fixtures.BLOCKS: self.group.machine.table_version(
                         store_fixtures.BLOCKS
                     )
                 },
