--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -238,7 +238,7 @@
 
     # Orders
 
-    async def confirm(self) -> None:
+    async def wait_until_current(self) -> None:
         """Wait until this member holds everything accepted before the call.
 
         Raises `errors.FulmarseamError` with `UNAVAILABLE` when that is not
--- a/fulmarseam/platform/_calls.py
+++ b/fulmarseam/platform/_calls.py
@@ -80,7 +80,7 @@
         self, method: str, body: bytes, caller: http.CallerConnection
     ) -> None:
         if method == 'GET':
-            await self._member.confirm()
+            await self._member.wait_until_current()
             items = self._member.catalog.items.live()
             caller.answer(200, JSON, _items.write_items(items))
             return
--- a/tests/test_catalog_member.py
+++ b/tests/test_catalog_member.py
@@ -164,7 +164,7 @@
         first, second, third = self.members()
         await self.put(first, fixtures.make_pool('katalog', 1))
         for member in (first, second, third):
-            await member.confirm()
+            await member.wait_until_current()
             self.assertEqual(len(member.catalog.items.live()), 1)
 
 
