--- a/fulmarseam/control/_admin.py
+++ b/fulmarseam/control/_admin.py
@@ -149,7 +149,7 @@
             target = use.target
             granted[target] = granted.get(target, 0) + use.allowance
             in_flight[target] = in_flight.get(target, 0) + use.in_flight
-    rows = leadership.targets.news_since(now, 0).rows
+    rows = leadership.targets.changes_since(now, 0).rows
     return [
         wire.TargetProgress(
             row=row,
--- a/fulmarseam/control/_sync.py
+++ b/fulmarseam/control/_sync.py
@@ -121,10 +121,10 @@
         leadership.allocate_if_due(now, wants_more=False)
         grants = leadership.grants_for(now, request.info)
         is_known = request.targets_term == leadership.term
-        targets = leadership.targets.news_since(
+        targets = leadership.targets.changes_since(
             now, request.targets_version if is_known else 0
         )
-        entries = leadership.entries.news_since(
+        entries = leadership.entries.changes_since(
             request.entries_version if is_known else 0
         )
         tables = self._tables.changes_since(request.revision)
--- a/fulmarseam/membership/__init__.py
+++ b/fulmarseam/membership/__init__.py
@@ -7,10 +7,10 @@
 
     targets = membership.TargetTable()
     targets.record(now, report, received_age_ms=0)
-    rows, removed, full = targets.news_since(now, version)
+    rows, removed, full = targets.changes_since(now, version)
 """
 
-from fulmarseam.membership._entries import EntryNews
+from fulmarseam.membership._entries import EntryChanges
 from fulmarseam.membership._entries import EntryTable
 from fulmarseam.membership._entry_mirror import EntryMirror
 from fulmarseam.membership._mirror import MirroredTarget
@@ -18,18 +18,18 @@
 from fulmarseam.membership._targets import LEAVING_KEPT_S
 from fulmarseam.membership._targets import Target
 from fulmarseam.membership._targets import TARGET_LEASE_S
-from fulmarseam.membership._targets import TargetNews
+from fulmarseam.membership._targets import TargetChanges
 from fulmarseam.membership._targets import TargetTable
 
 __all__ = [
     'EntryMirror',
-    'EntryNews',
+    'EntryChanges',
     'EntryTable',
     'LEAVING_KEPT_S',
     'MirroredTarget',
     'TARGET_LEASE_S',
     'Target',
     'TargetMirror',
-    'TargetNews',
+    'TargetChanges',
     'TargetTable',
 ]
--- a/fulmarseam/membership/_entries.py
+++ b/fulmarseam/membership/_entries.py
@@ -20,7 +20,7 @@
     version: int
 
 
-class EntryNews(NamedTuple):
+class EntryChanges(NamedTuple):
     """The rows that bring a reader to `version`.
 
     With `full` they replace all rows of the reader.
@@ -91,7 +91,7 @@
         """Return all entries, ordered by id."""
         return [_to_row(row) for _, row in sorted(self._entries.items())]
 
-    def news_since(self, version: int) -> EntryNews:
+    def changes_since(self, version: int) -> EntryChanges:
         """Return what a reader at `version` needs to be up to date.
 
         Version 0 stands for a reader that has nothing, which also holds for
@@ -105,7 +105,7 @@
             for row in self._entries.values()
             if full or row.version > version
         ]
-        return EntryNews(self.version, full, rows)
+        return EntryChanges(self.version, full, rows)
 
     def get(self, entry: ids.EntryId) -> wire.EntryRow | None:
         """Return the row of an entry, or None when it is not known."""
--- a/fulmarseam/membership/_targets.py
+++ b/fulmarseam/membership/_targets.py
@@ -36,7 +36,7 @@
     load_version: int
 
 
-class TargetNews(NamedTuple):
+class TargetChanges(NamedTuple):
     """Rows and loads changed and targets removed since a version.
 
     With `full`, `rows` is the whole table and replaces what the reader had.
@@ -122,7 +122,7 @@
         """Return all targets, those that are leaving included."""
         return list(self._targets.values())
 
-    def news_since(self, now: float, version: int) -> TargetNews:
+    def changes_since(self, now: float, version: int) -> TargetChanges:
         """Return what a reader at `version` needs to be up to date.
 
         Version 0 stands for a reader that has nothing, which also holds for
@@ -137,18 +137,18 @@
             if full or target.version > version
         ]
         if full:
-            return TargetNews(self.version, full, rows, [], [])
+            return TargetChanges(self.version, full, rows, [], [])
         loads = [
             _to_load_row(now, target)
             for target in self._targets.values()
             if target.load_version > version >= target.version
         ]
         removed = self._list_removed(version)
-        return TargetNews(self.version, full, rows, removed, loads)
+        return TargetChanges(self.version, full, rows, removed, loads)
 
     def rows_since(self, now: float, version: int) -> list[wire.TargetRow]:
         """Return the rows that changed after `version`."""
-        return self.news_since(now, version).rows
+        return self.changes_since(now, version).rows
 
     def _list_removed(self, version: int) -> list[ids.TargetId]:
         return sorted(
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -81,7 +81,7 @@
     def _make_answer(self, request: wire.SyncRequest) -> wire.SyncResponse:
         now = asyncio.get_running_loop().time()
         self.targets.expire(now)
-        news = self.targets.news_since(now, request.targets_version)
+        news = self.targets.changes_since(now, request.targets_version)
         full = request.revision < self.revision
         self._sequence += 1
         return wire.SyncResponse(
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -20,11 +20,11 @@
         self.assertTrue(self.table.record(now, request))
 
     def list_news(self, version: int) -> dict[str, bool]:
-        news = self.table.news_since(version)
+        news = self.table.changes_since(version)
         return {row.info.entry: row.alive for row in news.rows}
 
     def test_reader_with_nothing_gets_all(self) -> None:
-        self.assertTrue(self.table.news_since(0).full)
+        self.assertTrue(self.table.changes_since(0).full)
         self.assertEqual({'e1': True, 'e2': True}, self.list_news(0))
 
     def test_reader_gets_only_changed_rows(self) -> None:
@@ -45,9 +45,9 @@
         version = self.table.version
         self.record(700.0, 'e2')
         self.table.expire(700.0)
-        news = self.table.news_since(version)
+        news = self.table.changes_since(version)
         self.assertTrue(news.full)
         self.assertEqual({'e2': True}, self.list_news(version))
 
     def test_version_of_another_leader_gets_all(self) -> None:
-        self.assertTrue(self.table.news_since(10_000).full)
+        self.assertTrue(self.table.changes_since(10_000).full)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -67,7 +67,7 @@
         self.table.record(0.5, make_report(2, STARTING), 0)
         self.assertEqual(version, self.table.version)
         self.table.record(1.0, make_report(3), 0)
-        news = self.table.news_since(1.0, version)
+        news = self.table.changes_since(1.0, version)
         self.assertFalse(news.full)
         self.assertEqual([make_report(3)], [r.report for r in news.rows])
         self.assertEqual([], self.table.rows_since(1.0, news.version))
@@ -85,7 +85,7 @@
         self.table.record(0.0, make_report(1, load=1), 0)
         version = self.table.version
         self.table.record(2.0, make_report(2, load=3), 0)
-        news = self.table.news_since(2.5, version)
+        news = self.table.changes_since(2.5, version)
         self.assertEqual([], news.rows)
         [load] = news.loads
         self.assertEqual(
@@ -97,19 +97,19 @@
 
     def test_ready_time_starts_anew_with_an_incarnation(self) -> None:
         self.table.record(1.0, make_report(1, STARTING), 0)
-        row = self.table.news_since(5.0, 0).rows[0]
+        row = self.table.changes_since(5.0, 0).rows[0]
         self.assertEqual(0, row.ready_ms)
         self.table.record(2.0, make_report(2), 0)
         self.table.record(4.0, make_report(3), 0)
-        row = self.table.news_since(5.0, 0).rows[0]
+        row = self.table.changes_since(5.0, 0).rows[0]
         self.assertEqual(3_000, row.ready_ms)
         self.table.record(4.5, make_report(1, READY, 2), 0)
-        row = self.table.news_since(5.0, 0).rows[0]
+        row = self.table.changes_since(5.0, 0).rows[0]
         self.assertEqual(500, row.ready_ms)
 
     def test_load_age_counts_from_the_last_load(self) -> None:
         self.table.record(1.0, make_report(1, load=2), 0)
-        row = self.table.news_since(3.5, 0).rows[0]
+        row = self.table.changes_since(3.5, 0).rows[0]
         self.assertEqual(2_500, row.load_age_ms)
 
     def test_removed_targets_are_listed_until_they_return(self) -> None:
@@ -117,17 +117,17 @@
         self.table.record(0.0, make_report(1, name='u'), 0)
         version = self.table.version
         self.table.expire(3.0)
-        news = self.table.news_since(3.0, version)
+        news = self.table.changes_since(3.0, version)
         self.assertEqual((False, ['t', 'u']), (news.full, news.removed))
         self.table.record(4.0, make_report(2), 0)
-        news = self.table.news_since(4.0, version)
+        news = self.table.changes_since(4.0, version)
         self.assertEqual(['u'], news.removed)
         self.assertEqual(['t'], [row.report.target for row in news.rows])
 
     def test_unknown_version_gets_the_whole_table(self) -> None:
         self.table.record(0.0, make_report(1), 0)
         for version in (0, 99):
-            self.assertTrue(self.table.news_since(0.0, version).full)
+            self.assertTrue(self.table.changes_since(0.0, version).full)
 
     def test_reader_behind_many_removals_gets_the_whole_table(self) -> None:
         self.table.record(0.0, make_report(1, name='first'), 0)
@@ -135,7 +135,7 @@
         for number in range(1_100):
             self.table.record(0.0, make_report(1, name=f'u{number}'), 0)
         self.table.expire(3.0)
-        self.assertTrue(self.table.news_since(3.0, version).full)
+        self.assertTrue(self.table.changes_since(3.0, version).full)
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=100)
     @hypothesis.given(
