--- a/fulmarseam/entry/_announcements.py
+++ b/fulmarseam/entry/_announcements.py
@@ -33,7 +33,7 @@
     def add(self, now: float, report: wire.TargetReport) -> asyncio.Event:
         """Hold a report; the event is set once the leader has it."""
         known = self._pending.get(report.target)
-        if known is not None and order_of(report) < order_of(known.report):
+        if known is not None and sort_key(report) < sort_key(known.report):
             # The leader keeps the newer one, which settles this one too.
             return known.acknowledged
         event = asyncio.Event() if known is None else known.acknowledged
@@ -51,7 +51,7 @@
         """Note that the leader has the reports of a sync request."""
         for report in reports:
             item = self._pending.get(report.target)
-            if item is None or order_of(item.report) > order_of(report):
+            if item is None or sort_key(item.report) > sort_key(report):
                 continue
             del self._pending[report.target]
             item.acknowledged.set()
@@ -79,6 +79,6 @@
         ) from None
 
 
-def order_of(report: wire.TargetReport) -> tuple[int, int]:
+def sort_key(report: wire.TargetReport) -> tuple[int, int]:
     """Return the key by which the reports of a target are ordered."""
     return report.incarnation, report.sequence
--- a/fulmarseam/membership/_mirror.py
+++ b/fulmarseam/membership/_mirror.py
@@ -59,7 +59,7 @@
         The target is left out until it reports a newer incarnation or the
         row is 60 s old.
         """
-        order = _targets.order_of(report)
+        order = _targets.sort_key(report)
         known, _ = self._left.get(report.target, (order, 0.0))
         self._left[report.target] = (
             max(order, known),
@@ -103,7 +103,7 @@
             return False
         # Sequences restart with an incarnation. A "ready" with a higher
         # sequence of the same incarnation revokes the leave.
-        return _targets.order_of(report) <= left[0]
+        return _targets.sort_key(report) <= left[0]
 
     def _schedule_drops(
         self, now: float, listed: Iterable[ids.TargetId]
@@ -116,7 +116,7 @@
         report = row.report
         known = self._targets.get(report.target)
         if known is not None and (
-            _targets.order_of(report) < _targets.order_of(known.report)
+            _targets.sort_key(report) < _targets.sort_key(known.report)
         ):
             # The row of a new leader may be older, but it lists the target.
             known.drop_at = None
--- a/fulmarseam/membership/_targets.py
+++ b/fulmarseam/membership/_targets.py
@@ -82,7 +82,7 @@
         if known is None:
             self._targets[report.target] = self._create(received_at, report)
             return True
-        if order_of(report) <= order_of(known.report):
+        if sort_key(report) <= sort_key(known.report):
             return False
         self._update(known, received_at, report)
         return True
@@ -93,7 +93,7 @@
         An entry may then confirm the announcement to the target.
         """
         known = self._targets.get(report.target)
-        return known is not None and order_of(report) <= order_of(known.report)
+        return known is not None and sort_key(report) <= sort_key(known.report)
 
     def expire(self, now: float) -> list[ids.TargetId]:
         """Remove targets whose lease has ended; return their ids.
@@ -214,7 +214,7 @@
         return due and report.load is not None
 
 
-def order_of(report: wire.TargetReport) -> tuple[int, int]:
+def sort_key(report: wire.TargetReport) -> tuple[int, int]:
     """Return the key by which the reports of a target are ordered."""
     return report.incarnation, report.sequence
 
