--- a/fulmarseam/catalog/__init__.py
+++ b/fulmarseam/catalog/__init__.py
@@ -15,11 +15,11 @@
 from fulmarseam.catalog._commands import LeaveTarget
 from fulmarseam.catalog._commands import PutItems
 from fulmarseam.catalog._commands import ReadRevision
+from fulmarseam.catalog._entry_registry import EntryRegistry
 from fulmarseam.catalog._heartbeats import HeartbeatBook
 from fulmarseam.catalog._heartbeats import Silences
 from fulmarseam.catalog._machine import Catalog
 from fulmarseam.catalog._mirror import Mirror
-from fulmarseam.catalog._presence import Presence
 
 __all__ = [
     'AnnounceTargets',
@@ -30,7 +30,7 @@
     'EvacuateDomain',
     'LeaveTarget',
     'Mirror',
-    'Presence',
+    'EntryRegistry',
     'PutItems',
     'ReadRevision',
     'Silences',
--- a/fulmarseam/catalog/_entry_registry.py
+++ b/fulmarseam/catalog/_entry_registry.py
@@ -19,13 +19,13 @@
     heard_at: float
 
 
-class Presence:
+class EntryRegistry:
     """Entries by id; times in seconds of a monotonic clock."""
 
     def __init__(self) -> None:
         self._rows: dict[ids.EntryId, _Row] = {}
 
-    def note(self, now: float, poll: wire.EntryPoll) -> bool:
+    def record_poll(self, now: float, poll: wire.EntryPoll) -> bool:
         """Record a poll; return whether the entry's state changed.
 
         A poll of an earlier incarnation that arrives late changes nothing.
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -59,7 +59,7 @@
         self._seeds = options.list_peers()
         self._loop = asyncio.get_running_loop()
         self.catalog = catalog.Catalog()
-        self.presence = catalog.Presence()
+        self.entry_registry = catalog.EntryRegistry()
         self.metrics = telemetry.Metrics()
         self._heartbeats = catalog.HeartbeatBook()
         self._silences = catalog.Silences(
@@ -78,7 +78,9 @@
         observe = self.metrics.observe
         observe('revision', lambda: self.catalog.revision)
         observe('targets', lambda: len(self.catalog.targets.all()))
-        observe('entries', lambda: self.presence.count_senders(self._now()))
+        observe(
+            'entries', lambda: self.entry_registry.count_senders(self._now())
+        )
         observe('leads', lambda: self.leads())
         observe('term', lambda: self._status_value('term'))
         observe('commit_index', lambda: self._status_value('commit_index'))
@@ -208,7 +210,7 @@
 
     def _answer_poll(self, poll: wire.EntryPoll) -> wire.EntryPollResponse:
         now = self._now()
-        if self.presence.note(now, poll):
+        if self.entry_registry.record_poll(now, poll):
             _log.info(
                 telemetry.format_event(
                     'entry_state',
@@ -227,14 +229,16 @@
             revision=self.catalog.revision,
             changes=changes,
             members=[info.address for info in members],
-            entry_count=self.presence.count_senders(now),
+            entry_count=self.entry_registry.count_senders(now),
         )
 
     def find_entries(
         self, region: ids.RegionName, domain: ids.DomainName, limit: int
     ) -> list[str]:
         """Return the addresses of the entries that a caller should use."""
-        return self.presence.find_entries(self._now(), region, domain, limit)
+        return self.entry_registry.find_entries(
+            self._now(), region, domain, limit
+        )
 
     # Orders
 
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Tests of the catalog: items, targets, differences and presence."""
+"""Tests of the catalog: items, targets, differences and entries."""
 
 import unittest
 
@@ -322,17 +322,23 @@
         self.assertEqual(silences.find_silent(6.0, known), [])
 
 
-class PresenceTest(unittest.TestCase):
+class EntryRegistryTest(unittest.TestCase):
     """Guards against look-ups that name dead or draining entries."""
 
     def setUp(self) -> None:
-        self.presence = catalog.Presence()
-        self.presence.note(0.0, fixtures.make_poll('e1', 'ost', 'ost-wien'))
-        self.presence.note(0.0, fixtures.make_poll('e2', 'ost', 'ost-stp'))
-        self.presence.note(0.0, fixtures.make_poll('e3', 'west', 'west-ibk'))
+        self.registry = catalog.EntryRegistry()
+        self.registry.record_poll(
+            0.0, fixtures.make_poll('e1', 'ost', 'ost-wien')
+        )
+        self.registry.record_poll(
+            0.0, fixtures.make_poll('e2', 'ost', 'ost-stp')
+        )
+        self.registry.record_poll(
+            0.0, fixtures.make_poll('e3', 'west', 'west-ibk')
+        )
 
     def _find(self, now: float, region: str) -> list[str]:
-        return self.presence.find_entries(
+        return self.registry.find_entries(
             now, fixtures.region(region), fixtures.domain('ost-stp'), 64
         )
 
@@ -345,32 +351,34 @@
         self.assertEqual(len(self._find(1.0, 'sued')), 3)
 
     def test_silent_and_draining_entries_are_left_out(self) -> None:
-        self.presence.note(
+        self.registry.record_poll(
             2.0,
             fixtures.make_poll(
                 'e1', 'ost', 'ost-wien', wire.EntryState.DRAINING
             ),
         )
-        self.presence.note(2.0, fixtures.make_poll('e2', 'ost', 'ost-stp'))
+        self.registry.record_poll(
+            2.0, fixtures.make_poll('e2', 'ost', 'ost-stp')
+        )
         self.assertEqual(self._find(4.0, 'ost'), ['e2:1'])
         self.assertEqual(self._find(5.0, 'ost'), [])
 
     def test_a_late_poll_of_an_ended_process_changes_nothing(self) -> None:
         restarted = fixtures.make_poll('e1', 'ost', 'ost-wien', incarnation=9)
-        self.presence.note(1.0, restarted)
+        self.registry.record_poll(1.0, restarted)
         late = fixtures.make_poll(
             'e1', 'ost', 'ost-wien', wire.EntryState.DRAINING, incarnation=3
         )
-        self.assertFalse(self.presence.note(1.1, late))
+        self.assertFalse(self.registry.record_poll(1.1, late))
         self.assertIn('e1:1', self._find(1.2, 'ost'))
 
     def test_a_process_that_restarts_with_an_earlier_clock_is_heard(
         self,
     ) -> None:
         earlier = fixtures.make_poll('e1', 'ost', 'ost-wien', incarnation=3)
-        self.assertTrue(self.presence.note(3.0, earlier))
+        self.assertTrue(self.registry.record_poll(3.0, earlier))
         self.assertEqual(self._find(3.1, 'ost'), ['e1:1'])
 
     def test_dead_entries_still_count_as_senders(self) -> None:
-        self.assertEqual(self.presence.count_senders(30.0), 3)
-        self.assertEqual(self.presence.count_senders(61.0), 0)
+        self.assertEqual(self.registry.count_senders(30.0), 3)
+        self.assertEqual(self.registry.count_senders(61.0), 0)
