--- a/fulmarseam/control/_groups.py
+++ b/fulmarseam/control/_groups.py
@@ -166,7 +166,7 @@
     if known is not None and known.info.incarnation != incarnation:
         # The process has restarted; what it held in memory is gone.
         return True
-    return leadership.entries.silent_for(now, entry) > LOST_AFTER_S
+    return leadership.entries.get_silence_s(now, entry) > LOST_AFTER_S
 
 
 def _has_copy(
--- a/fulmarseam/membership/_entries.py
+++ b/fulmarseam/membership/_entries.py
@@ -112,7 +112,7 @@
         row = self._entries.get(entry)
         return None if row is None else _to_row(row)
 
-    def silent_for(self, now: float, entry: ids.EntryId) -> float:
+    def get_silence_s(self, now: float, entry: ids.EntryId) -> float:
         """Return the seconds since the entry was last heard.
 
         An entry that this leader has never heard counts from the start of
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -319,7 +319,7 @@
     def test_older_incarnation_is_refused(self) -> None:
         self.assertTrue(self.record(100.0, incarnation=2))
         self.assertFalse(self.record(101.0, incarnation=1))
-        self.assertEqual(1.5, self.table.silent_for(101.5, 'e0'))
+        self.assertEqual(1.5, self.table.get_silence_s(101.5, 'e0'))
         self.assertTrue(self.record(102.0, incarnation=3))
 
     def test_only_changes_move_the_version(self) -> None:
@@ -332,7 +332,7 @@
         self.assertTrue(self.table.rows()[0].draining)
 
     def test_entry_never_heard_is_silent_since_the_start(self) -> None:
-        self.assertEqual(4.0, self.table.silent_for(104.0, 'e9'))
+        self.assertEqual(4.0, self.table.get_silence_s(104.0, 'e9'))
         self.assertIsNone(self.table.get('e9'))
 
     def test_dead_entry_is_forgotten_after_a_while(self) -> None:
