--- a/fulmarseam/catalog/__init__.py
+++ b/fulmarseam/catalog/__init__.py
@@ -16,14 +16,14 @@
 from fulmarseam.catalog._commands import PutItems
 from fulmarseam.catalog._commands import ReadRevision
 from fulmarseam.catalog._entry_registry import EntryRegistry
-from fulmarseam.catalog._heartbeats import HeartbeatBook
-from fulmarseam.catalog._heartbeats import Silences
+from fulmarseam.catalog._heartbeats import HeartbeatTracker
+from fulmarseam.catalog._heartbeats import TargetLeases
 from fulmarseam.catalog._machine import Catalog
 from fulmarseam.catalog._mirror import Mirror
 
 __all__ = [
     'AnnounceTargets',
-    'HeartbeatBook',
+    'HeartbeatTracker',
     'Catalog',
     'Command',
     'DropTargets',
@@ -33,7 +33,7 @@
     'EntryRegistry',
     'PutItems',
     'ReadRevision',
-    'Silences',
+    'TargetLeases',
     'decode_result',
     'encode_command',
 ]
--- a/fulmarseam/catalog/_heartbeats.py
+++ b/fulmarseam/catalog/_heartbeats.py
@@ -10,7 +10,7 @@
 COLD_MARGIN_MS = 1_000.0
 
 
-class HeartbeatBook:
+class HeartbeatTracker:
     """Tells announcements that change something from mere renewals.
 
     Times are in seconds. `take_renewed` hands out the targets that have
@@ -21,7 +21,7 @@
         self._cold_until: dict[ids.TargetId, float] = {}
         self._renewed: set[ids.TargetId] = set()
 
-    def note(
+    def record(
         self,
         now: float,
         known: wire.TargetRecord | None,
@@ -51,14 +51,14 @@
     return (record.pool, record.address, record.slots, record.phase)
 
 
-class Silences:
+class TargetLeases:
     """When the leader last heard of each target; times in seconds."""
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s
         self._heard: dict[ids.TargetId, float] = {}
 
-    def note(self, now: float, targets: list[ids.TargetId]) -> None:
+    def renew(self, now: float, targets: list[ids.TargetId]) -> None:
         """Record that targets have announced themselves."""
         for target in targets:
             self._heard[target] = now
@@ -67,7 +67,7 @@
         """Forget all times; called when another member leads."""
         self._heard.clear()
 
-    def find_silent(
+    def find_expired(
         self, now: float, known: Mapping[ids.TargetId, wire.TargetRecord]
     ) -> list[tuple[ids.TargetId, int]]:
         """Return the targets whose lease has ended, with incarnations.
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -61,8 +61,8 @@
         self.catalog = catalog.Catalog()
         self.entry_registry = catalog.EntryRegistry()
         self.metrics = telemetry.Metrics()
-        self._heartbeats = catalog.HeartbeatBook()
-        self._silences = catalog.Silences(
+        self._heartbeats = catalog.HeartbeatTracker()
+        self._silences = catalog.TargetLeases(
             MISSED_HEARTBEATS * options.heartbeat + HEARTBEAT_MARGIN_S
         )
         self._clients = transport.RpcClients()
@@ -198,7 +198,7 @@
             case wire.CatalogCommand(command=command):
                 return await self._propose(command)
             case wire.TargetRenewal(targets=targets):
-                self._silences.note(self._now(), targets)
+                self._silences.renew(self._now(), targets)
                 return wire.Ok()
             case wire.EntryPoll():
                 return self._answer_poll(message)
@@ -352,7 +352,7 @@
                 errors.ErrorKind.UNAVAILABLE, 'no leader is known'
             )
         known = self.catalog.targets.get(record.target)
-        is_change = self._heartbeats.note(self._now(), known, record)
+        is_change = self._heartbeats.record(self._now(), known, record)
         if not is_change or not self.catalog.targets.is_newer(record):
             return
         await self.submit(catalog.AnnounceTargets(records=[record]))
@@ -388,7 +388,7 @@
                 {info.address for info in status.members} if status else ()
             )
             if self.leads():
-                self._silences.note(self._now(), renewed)
+                self._silences.renew(self._now(), renewed)
                 await self._drop_silent()
                 continue
             self._silences.clear()
@@ -407,7 +407,7 @@
         known = {
             record.target: record for record in self.catalog.targets.all()
         }
-        silent = self._silences.find_silent(self._now(), known)
+        silent = self._silences.find_expired(self._now(), known)
         if not silent:
             return
         try:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -276,50 +276,50 @@
     """Guards against a log entry for every announcement."""
 
     def test_only_changes_need_the_log(self) -> None:
-        book = catalog.HeartbeatBook()
+        tracker = catalog.HeartbeatTracker()
         record = fixtures.make_record('a', sequence=1)
-        self.assertTrue(book.note(0.0, None, record))
+        self.assertTrue(tracker.record(0.0, None, record))
         renewal = fixtures.make_record('a', sequence=2)
-        self.assertFalse(book.note(1.5, record, renewal))
-        self.assertEqual(book.take_renewed(), ['a'])
-        self.assertEqual(book.take_renewed(), [])
+        self.assertFalse(tracker.record(1.5, record, renewal))
+        self.assertEqual(tracker.take_renewed(), ['a'])
+        self.assertEqual(tracker.take_renewed(), [])
         draining = fixtures.make_record(
             'a', sequence=3, phase=wire.TargetPhase.DRAINING
         )
-        self.assertTrue(book.note(3.0, record, draining))
+        self.assertTrue(tracker.record(3.0, record, draining))
 
     def test_a_target_that_turned_cold_again_is_news(self) -> None:
-        book = catalog.HeartbeatBook()
+        tracker = catalog.HeartbeatTracker()
         known = fixtures.make_record('a', cold_ms=3_000.0)
-        book.note(0.0, None, known)
+        tracker.record(0.0, None, known)
         warming = fixtures.make_record('a', sequence=2, cold_ms=1_500.0)
-        self.assertFalse(book.note(1.5, known, warming))
+        self.assertFalse(tracker.record(1.5, known, warming))
         cold = fixtures.make_record('a', sequence=3, cold_ms=3_000.0)
-        self.assertTrue(book.note(9.0, known, cold))
+        self.assertTrue(tracker.record(9.0, known, cold))
 
 
-class SilenceTest(unittest.TestCase):
+class TargetLeasesTest(unittest.TestCase):
     """Guards against dropping live targets of a member that is cut off."""
 
     def test_silent_targets_are_found_after_the_lease(self) -> None:
-        silences = catalog.Silences(5.0)
+        leases = catalog.TargetLeases(5.0)
         known = {
             fixtures.target_id(name): fixtures.make_record(name, born_ms=7)
             for name in 'abc'
         }
-        self.assertEqual(silences.find_silent(0.0, known), [])
-        silences.note(4.0, [fixtures.target_id(name) for name in 'ab'])
-        self.assertEqual(silences.find_silent(5.5, known), [('c', 7)])
+        self.assertEqual(leases.find_expired(0.0, known), [])
+        leases.renew(4.0, [fixtures.target_id(name) for name in 'ab'])
+        self.assertEqual(leases.find_expired(5.5, known), [('c', 7)])
 
     def test_none_are_silent_when_most_are(self) -> None:
-        silences = catalog.Silences(5.0)
+        leases = catalog.TargetLeases(5.0)
         known = {
             fixtures.target_id(name): fixtures.make_record(name)
             for name in 'abc'
         }
-        silences.find_silent(0.0, known)
-        silences.note(4.0, [fixtures.target_id('a')])
-        self.assertEqual(silences.find_silent(6.0, known), [])
+        leases.find_expired(0.0, known)
+        leases.renew(4.0, [fixtures.target_id('a')])
+        self.assertEqual(leases.find_expired(6.0, known), [])
 
 
 class EntryRegistryTest(unittest.TestCase):
