--- a/fulmarseam/catalog/__init__.py
+++ b/fulmarseam/catalog/__init__.py
@@ -19,7 +19,7 @@
 from fulmarseam.catalog._heartbeats import HeartbeatTracker
 from fulmarseam.catalog._heartbeats import TargetLeases
 from fulmarseam.catalog._machine import Catalog
-from fulmarseam.catalog._mirror import Mirror
+from fulmarseam.catalog._mirror import CatalogMirror
 
 __all__ = [
     'AnnounceTargets',
@@ -29,7 +29,7 @@
     'DropTargets',
     'EvacuateDomain',
     'LeaveTarget',
-    'Mirror',
+    'CatalogMirror',
     'EntryRegistry',
     'PutItems',
     'ReadRevision',
--- a/fulmarseam/catalog/_items.py
+++ b/fulmarseam/catalog/_items.py
@@ -27,7 +27,7 @@
         """Return all items, dropped ones included."""
         return list(self._items.values())
 
-    def live(self) -> list[wire.Item]:
+    def list_live(self) -> list[wire.Item]:
         """Return the items that are not dropped."""
         return [item for item in self._items.values() if item.row is not None]
 
--- a/fulmarseam/catalog/_mirror.py
+++ b/fulmarseam/catalog/_mirror.py
@@ -4,7 +4,7 @@
 from fulmarseam import wire
 
 
-class Mirror:
+class CatalogMirror:
     """The items, targets and evacuations that an entry holds.
 
     `revision` only grows, so what is in force never becomes older while
--- a/fulmarseam/gateway/_daemon.py
+++ b/fulmarseam/gateway/_daemon.py
@@ -42,7 +42,7 @@
         self._loop = asyncio.get_running_loop()
         self.stopping = asyncio.Event()
         self.metrics = telemetry.Metrics()
-        self.mirror = catalog.Mirror()
+        self.mirror = catalog.CatalogMirror()
         self.fleet = _fleet.Fleet(options, self.mirror)
         self.routes = _routes.RouteBook()
         self.poller = _poller.Poller(options, self.mirror, self._take_change)
--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -61,7 +61,7 @@
     """
 
     def __init__(
-        self, options: settings.GatewaySettings, mirror: catalog.Mirror
+        self, options: settings.GatewaySettings, mirror: catalog.CatalogMirror
     ) -> None:
         self._options = options
         self._mirror = mirror
--- a/fulmarseam/gateway/_forwarding.py
+++ b/fulmarseam/gateway/_forwarding.py
@@ -27,7 +27,7 @@
 class Services(NamedTuple):
     """What the path of a request uses."""
 
-    mirror: catalog.Mirror
+    mirror: catalog.CatalogMirror
     routes: _routes.RouteBook
     fleet: _fleet.Fleet
     connections: http.TargetPools
--- a/fulmarseam/gateway/_poller.py
+++ b/fulmarseam/gateway/_poller.py
@@ -43,7 +43,7 @@
     def __init__(
         self,
         options: settings.GatewaySettings,
-        mirror: catalog.Mirror,
+        mirror: catalog.CatalogMirror,
         on_change: Callable[[], None],
     ) -> None:
         self._options = options
--- a/fulmarseam/platform/_calls.py
+++ b/fulmarseam/platform/_calls.py
@@ -81,7 +81,7 @@
     ) -> None:
         if method == 'GET':
             await self._member.confirm()
-            items = self._member.catalog.items.live()
+            items = self._member.catalog.items.list_live()
             caller.answer(200, JSON, _items.write_items(items))
             return
         _require_method(method, 'PATCH')
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -47,7 +47,7 @@
             fixtures.make_route('bad', 2, pool='nowhere'),
         )
         self.assertIn('nowhere', result.problems[0])
-        names = [item.name for item in self.machine.items.live()]
+        names = [item.name for item in self.machine.items.list_live()]
         self.assertEqual(names, ['katalog'])
 
     def test_every_problem_of_a_call_is_reported(self) -> None:
@@ -139,7 +139,7 @@
         self.machine = catalog.Catalog()
         fixtures.put(self.machine, fixtures.make_pool('katalog', 1))
         fixtures.announce(self.machine, 'a')
-        self.mirror = catalog.Mirror()
+        self.mirror = catalog.CatalogMirror()
 
     def _sync(self, machine: catalog.Catalog) -> int:
         """Fetch until nothing is newer; return the number of answers."""
--- a/tests/test_catalog_member.py
+++ b/tests/test_catalog_member.py
@@ -137,7 +137,7 @@
         async with asyncio.timeout(WAIT_S):
             while True:
                 names = [
-                    {item.name for item in member.catalog.items.live()}
+                    {item.name for item in member.catalog.items.list_live()}
                     for member in self.members()
                 ]
                 if all(name in found for found in names):
@@ -165,7 +165,7 @@
         await self.put(first, fixtures.make_pool('katalog', 1))
         for member in (first, second, third):
             await member.confirm()
-            self.assertEqual(len(member.catalog.items.live()), 1)
+            self.assertEqual(len(member.catalog.items.list_live()), 1)
 
 
 class RepairTest(CatalogMemberCase):
