--- a/fulmarseam/gateway/__init__.py
+++ b/fulmarseam/gateway/__init__.py
@@ -4,11 +4,11 @@
 bounds of all entries together. So it goes on serving while it is cut off
 from the control members::
 
-    await gateway.Gateway(options, dialect).run()
+    await gateway.Gateway(options, http_names).run()
 """
 
 from fulmarseam.gateway._answers import make_answer
 from fulmarseam.gateway._daemon import Gateway
-from fulmarseam.gateway._dialect import Dialect
+from fulmarseam.gateway._http_names import HttpNames
 
-__all__ = ['Dialect', 'Gateway', 'make_answer']
+__all__ = ['HttpNames', 'Gateway', 'make_answer']
--- a/fulmarseam/gateway/_daemon.py
+++ b/fulmarseam/gateway/_daemon.py
@@ -11,9 +11,9 @@
 from fulmarseam import settings
 from fulmarseam import telemetry
 from fulmarseam.gateway import _answers
-from fulmarseam.gateway import _dialect
 from fulmarseam.gateway import _fleet
 from fulmarseam.gateway import _forwarding
+from fulmarseam.gateway import _http_names
 from fulmarseam.gateway import _poller
 from fulmarseam.gateway import _routes
 
@@ -35,10 +35,12 @@
     """One gateway process; `run` returns after a graceful stop."""
 
     def __init__(
-        self, options: settings.GatewaySettings, dialect: _dialect.Dialect
+        self,
+        options: settings.GatewaySettings,
+        http_names: _http_names.HttpNames,
     ) -> None:
         self._options = options
-        self._dialect = dialect
+        self._http_names = http_names
         self._loop = asyncio.get_running_loop()
         self.stopping = asyncio.Event()
         self.metrics = telemetry.Metrics()
@@ -54,7 +56,7 @@
                 routes=self.routes,
                 fleet=self.fleet,
                 connections=self._connections,
-                dialect=dialect,
+                http_names=http_names,
                 metrics=self.metrics,
                 request_log=self._request_log,
             )
@@ -109,7 +111,7 @@
         self, request: http.Request, caller: http.CallerConnection
     ) -> None:
         path = request.target.partition(b'?')[0].decode('latin-1')
-        if path == self._dialect.readiness_path:
+        if path == self._http_names.readiness_path:
             status = 200 if self.is_ready() else 503
             caller.answer(status, [], b'')
         elif path == METRICS_PATH:
--- a/fulmarseam/gateway/_exchange.py
+++ b/fulmarseam/gateway/_exchange.py
@@ -5,7 +5,7 @@
 
 from fulmarseam import http
 from fulmarseam import steering
-from fulmarseam.gateway import _dialect
+from fulmarseam.gateway import _http_names
 from fulmarseam.gateway import _requests
 
 # Answers up to this size are passed on only when they are complete, so that
@@ -49,13 +49,13 @@
         job: _requests.Job,
         target: steering.ObservedTarget,
         pool: http.TargetPool,
-        dialect: _dialect.Dialect,
+        http_names: _http_names.HttpNames,
         first_byte_by: float,
     ) -> None:
         self._job = job
         self._target = target
         self._pool = pool
-        self._dialect = dialect
+        self._http_names = http_names
         self._first_byte_by = first_byte_by
         self._loop = asyncio.get_running_loop()
         self._uploading = True
@@ -121,7 +121,7 @@
         response = await self._wait_for_head(connection)
         self.has_answered = True
         self._pool.note_keep_alive(response)
-        self.load_report = response.fields.get(self._dialect.load, b'')
+        self.load_report = response.fields.get(self._http_names.load, b'')
         self._check_head(response)
         return Answer(response, await self._hold_body(connection))
 
@@ -145,16 +145,17 @@
 
     def _make_headers(self) -> http.Headers:
         job = self._job
-        dialect = self._dialect
+        http_names = self._http_names
         headers = http.drop_headers(
             job.request.headers,
             job.request.fields,
-            _DROPPED_IN_REQUEST | {dialect.deadline, dialect.expected_target},
+            _DROPPED_IN_REQUEST
+            | {http_names.deadline, http_names.expected_target},
         )
         left_ms = int((job.deadline - self._loop.time()) * 1_000)
-        headers.append((dialect.deadline, b'%d' % max(1, left_ms)))
+        headers.append((http_names.deadline, b'%d' % max(1, left_ms)))
         headers.append(
-            (dialect.expected_target, self._target.target.encode('latin-1'))
+            (http_names.expected_target, self._target.target.encode('latin-1'))
         )
         if job.request.length is None:
             headers.append((b'transfer-encoding', b'chunked'))
@@ -195,7 +196,7 @@
 
     def _is_stray(self, response: http.Response) -> bool:
         """Return whether an answer names another request than this."""
-        answered_id = response.fields.get(self._dialect.request_id)
+        answered_id = response.fields.get(self._http_names.request_id)
         return answered_id is not None and answered_id != self._job.request_id
 
     async def _skip_body(self, connection: http.TargetConnection) -> None:
@@ -210,8 +211,8 @@
         `http.TargetError` for an answer to another request, which may
         arrive late on a connection that is used again.
         """
-        dialect = self._dialect
-        is_anonymous = dialect.request_id not in response.fields
+        http_names = self._http_names
+        is_anonymous = http_names.request_id not in response.fields
         if self._is_stray(response) or (
             is_anonymous and response.status < 300
         ):
@@ -222,7 +223,7 @@
             )
         if response.status == MISDIRECTED_STATUS:
             raise NotRunError('another target has the address', True)
-        if dialect.not_run in response.fields:
+        if http_names.not_run in response.fields:
             raise NotRunError(f'the target answered {response.status}')
 
     async def _hold_body(
--- a/fulmarseam/gateway/_forwarding.py
+++ b/fulmarseam/gateway/_forwarding.py
@@ -11,9 +11,9 @@
 from fulmarseam import ids
 from fulmarseam import steering
 from fulmarseam import telemetry
-from fulmarseam.gateway import _dialect
 from fulmarseam.gateway import _exchange
 from fulmarseam.gateway import _fleet
+from fulmarseam.gateway import _http_names
 from fulmarseam.gateway import _requests
 from fulmarseam.gateway import _routes
 from fulmarseam.gateway import _summaries
@@ -31,7 +31,7 @@
     routes: _routes.RouteBook
     fleet: _fleet.Fleet
     connections: http.TargetPools
-    dialect: _dialect.Dialect
+    http_names: _http_names.HttpNames
     metrics: telemetry.Metrics
     request_log: telemetry.RequestLog
 
@@ -60,7 +60,7 @@
     ) -> None:
         """Handle one request; the handler of the callers' server."""
         now = self._loop.time()
-        job = _requests.Job(request, caller, now, self._services.dialect)
+        job = _requests.Job(request, caller, now, self._services.http_names)
         summary = _summaries.RequestSummary()
         try:
             await self._serve(job, summary)
@@ -109,7 +109,7 @@
 
     def _set_deadline(self, job: _requests.Job) -> None:
         stated_ms = _requests.read_deadline_ms(
-            job.request, self._services.dialect
+            job.request, self._services.http_names
         )
         time_ms = job.route.timeout_ms
         if stated_ms is not None:
@@ -127,7 +127,7 @@
         Once an attempt may have run, that is what the caller learns,
         whatever ends a later attempt.
         """
-        key = _requests.read_affinity(job.request, self._services.dialect)
+        key = _requests.read_affinity(job.request, self._services.http_names)
         summary.key = key or ''
         avoided: set[ids.TargetId] = set()
         may_have_run: errors.FulmarseamError | None = None
@@ -181,7 +181,7 @@
             job,
             target,
             services.connections.get(target.record.address, limit),
-            services.dialect,
+            services.http_names,
             self._find_patience(job, target, started),
         )
         try:
--- a/fulmarseam/gateway/_dialect.py
+++ b/fulmarseam/gateway/_http_names.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Dialect(NamedTuple):
+class HttpNames(NamedTuple):
     """Names in lower case, as one deployment has them.
 
     `request_id` comes with each request and answer. `deadline` holds the
--- a/fulmarseam/gateway/_requests.py
+++ b/fulmarseam/gateway/_requests.py
@@ -4,7 +4,7 @@
 from fulmarseam import http
 from fulmarseam import ids
 from fulmarseam import wire
-from fulmarseam.gateway import _dialect
+from fulmarseam.gateway import _http_names
 
 # A body up to this size is read before the request is sent, so that it can
 # be sent again.
@@ -40,7 +40,7 @@
         request: http.Request,
         caller: http.CallerConnection,
         now: float,
-        dialect: _dialect.Dialect,
+        http_names: _http_names.HttpNames,
     ) -> None:
         self.request = request
         self.caller = caller
@@ -48,7 +48,7 @@
         self.deadline = now
         self.host, self.path = http.find_host_and_path(request)
         self.request_path = self.path.encode('latin-1')
-        self.request_id = request.fields.get(dialect.request_id)
+        self.request_id = request.fields.get(http_names.request_id)
         self.route: wire.RouteItem
         # Targets that may have run it; a route bounds their number.
         self.attempted: set[ids.TargetId] = set()
@@ -83,26 +83,26 @@
 
 
 def read_deadline_ms(
-    request: http.Request, dialect: _dialect.Dialect
+    request: http.Request, http_names: _http_names.HttpNames
 ) -> int | None:
     """Return the time that the caller waits, in milliseconds, if stated.
 
     Raises `errors.FulmarseamError` when the header is malformed.
     """
-    value = request.fields.get(dialect.deadline)
+    value = request.fields.get(http_names.deadline)
     if value is None:
         return None
     if not value.isdigit() or len(value) > MAX_DEADLINE_DIGITS:
         raise errors.FulmarseamError(
             errors.ErrorKind.MALFORMED_REQUEST,
-            f'{dialect.deadline.decode()}: found {value!r}, expected '
+            f'{http_names.deadline.decode()}: found {value!r}, expected '
             'milliseconds',
         )
     return int(value)
 
 
 def read_affinity(
-    request: http.Request, dialect: _dialect.Dialect
+    request: http.Request, http_names: _http_names.HttpNames
 ) -> str | None:
     """Return the name of the object that a request concerns, if stated."""
     cookies = request.fields.get(b'cookie')
@@ -110,6 +110,6 @@
         return None
     for cookie in cookies.split(b';'):
         name, _, value = cookie.strip().partition(b'=')
-        if name.lower() == dialect.affinity:
+        if name.lower() == http_names.affinity:
             return value.decode('latin-1')
     return None
--- a/fulmarseam/platform/_headers.py
+++ b/fulmarseam/platform/_headers.py
@@ -1,11 +1,11 @@
-"""The platform's header names as the gateway's dialect."""
+"""The platform's header names for the gateway."""
 
 from fulmarseam import gateway
 
 # The echo of the request id ties an answer to its request. A target that
 # has another id than the expected one answers 421. The affinity name is a
 # cookie, not a header.
-DIALECT = gateway.Dialect(
+HTTP_NAMES = gateway.HttpNames(
     request_id=b'x-request-id',
     deadline=b'x-deadline-ms',
     expected_target=b'x-expect-instance',
--- a/fulmarseam/platform/_programs.py
+++ b/fulmarseam/platform/_programs.py
@@ -97,7 +97,7 @@
 
 
 async def _serve_entry(path: str, options: settings.GatewaySettings) -> None:
-    entry = gateway.Gateway(options, _headers.DIALECT)
+    entry = gateway.Gateway(options, _headers.HTTP_NAMES)
     _stop_on_signal(entry.stopping)
     watch = asyncio.create_task(
         _watch_settings(
--- a/tests/gateway_case.py
+++ b/tests/gateway_case.py
@@ -115,7 +115,7 @@
             transport.RpcServer(self.member_address, self._handle)
         )
         self.options = self.make_options()
-        self.gateway = gateway.Gateway(self.options, gateway.Dialect())
+        self.gateway = gateway.Gateway(self.options, gateway.HttpNames())
         self.running = asyncio.create_task(self.gateway.run())
         await asyncio.sleep(0.05)
 
