--- a/fulmarseam/membership/_targets.py
+++ b/fulmarseam/membership/_targets.py
@@ -36,7 +36,7 @@
     load_version: int
 
 
-class TargetNews(NamedTuple):
+class TargetChanges(NamedTuple):
     """Rows and loads changed and targets removed since a version.
 
     With `full`, `rows` is the whole table and replaces what the reader had.
@@ -82,7 +82,7 @@
         if known is None:
             self._targets[report.target] = self._create(received_at, report)
             return True
-        if order_of(report) <= order_of(known.report):
+        if sort_key(report) <= sort_key(known.report):
             return False
         self._update(known, received_at, report)
         return True
@@ -93,7 +93,7 @@
         An entry may then confirm the announcement to the target.
         """
         known = self._targets.get(report.target)
-        return known is not None and order_of(report) <= order_of(known.report)
+        return known is not None and sort_key(report) <= sort_key(known.report)
 
     def expire(self, now: float) -> list[ids.TargetId]:
         """Remove targets whose lease has ended; return their ids.
@@ -122,7 +122,7 @@
         """Return all targets, those that are leaving included."""
         return list(self._targets.values())
 
-    def news_since(self, now: float, version: int) -> TargetNews:
+    def changes_since(self, now: float, version: int) -> TargetChanges:
         """Return what a reader at `version` needs to be up to date.
 
         Version 0 stands for a reader that has nothing, which also holds for
@@ -137,18 +137,18 @@
             if full or target.version > version
         ]
         if full:
-            return TargetNews(self.version, full, rows, [], [])
+            return TargetChanges(self.version, full, rows, [], [])
         loads = [
             _to_load_row(now, target)
             for target in self._targets.values()
             if target.load_version > version >= target.version
         ]
         removed = self._list_removed(version)
-        return TargetNews(self.version, full, rows, removed, loads)
+        return TargetChanges(self.version, full, rows, removed, loads)
 
     def rows_since(self, now: float, version: int) -> list[wire.TargetRow]:
         """Return the rows that changed after `version`."""
-        return self.news_since(now, version).rows
+        return self.changes_since(now, version).rows
 
     def _list_removed(self, version: int) -> list[ids.TargetId]:
         return sorted(
@@ -214,7 +214,7 @@
         return due and report.load is not None
 
 
-def order_of(report: wire.TargetReport) -> tuple[int, int]:
+def sort_key(report: wire.TargetReport) -> tuple[int, int]:
     """Return the key by which the reports of a target are ordered."""
     return report.incarnation, report.sequence
 
