--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -25,8 +25,8 @@
 # Load per slot that a target in the own region may have above that of one
 # in another region before a request for no known object goes there.
 REMOTE_COST = 0.4
-# Refill offsets between 0 and 1 that entries may have.
-REFILL_OFFSETS = 1_000
+# Steps between 0 and 1 of the phase of an entry.
+PHASES = 1_000
 # The failure rate of a pool is taken anew after this time.
 RATE_INTERVAL_S = 0.2
 # Rankings kept; the least of what the busiest deployments have is some
@@ -108,7 +108,7 @@
             observed = steering.ObservedTarget(
                 record,
                 record.region != self._options.region,
-                refill_offset=self._find_refill_offset(target),
+                phase=self._find_phase(target),
                 tokens_at=now,
                 in_flight=observed.in_flight if observed else 0,
             )
@@ -117,9 +117,9 @@
         if record.cold_ms > 0.0:
             steering.start_cold(observed, now, record.cold_ms / 1_000)
 
-    def _find_refill_offset(self, target: ids.TargetId) -> float:
+    def _find_phase(self, target: ids.TargetId) -> float:
         name = f'{self._options.host} {target}'.encode()
-        return (zlib.crc32(name) % REFILL_OFFSETS) / REFILL_OFFSETS
+        return (zlib.crc32(name) % PHASES) / PHASES
 
     def _cold_s(self, observed: steering.ObservedTarget) -> float:
         pool = self._mirror.pools.get(observed.record.pool)
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -55,8 +55,8 @@
     `now < ejected_until` the target gets no requests, and while
     `now < cold_until` only as many as `tokens` allow. `silent_since` is
     when the oldest of the present requests started, or the last answer.
-    `refill_offset` between 0 and 1 differs between entries, so that many
-    entries with a small share each do not use it in the same second.
+    `phase` between 0 and 1 differs between entries, so that many entries
+    with a small share each do not use it in the same second.
     """
 
     record: wire.TargetRecord
@@ -73,7 +73,7 @@
     service_s: float = FIRST_SERVICE_S
     answers: int = 0
     silent_since: float = 0.0
-    refill_offset: float = 0.0
+    phase: float = 0.0
     recovering: bool = False
 
     @property
@@ -229,7 +229,7 @@
 
 
 def _reset_tokens(target: ObservedTarget, now: float) -> None:
-    target.tokens = -target.refill_offset
+    target.tokens = -target.phase
     target.tokens_at = now
 
 
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -343,7 +343,7 @@
         rng = random.Random(seed)
         share = self.BOUND.share(self.RATE, senders)
         entries = [
-            make_target('a', refill_offset=rng.random(), tokens=1.0)
+            make_target('a', phase=rng.random(), tokens=1.0)
             for _ in range(senders)
         ]
         for entry in entries:
