--- a/fulmarseam/bench/_run.py
+++ b/fulmarseam/bench/_run.py
@@ -92,7 +92,7 @@
             headers = {'Fulmarseam-Deadline-Ms': '500'}
             try:
                 if not route.idempotent:
-                    key = await caller.mint_request_id()
+                    key = await caller.create_request_id()
                     headers['Idempotency-Key'] = key
                 request = client.Request('GET', route.host, '/', headers)
                 reply = await exchanger.send(address, request, 2.0)
--- a/fulmarseam/client/_caller.py
+++ b/fulmarseam/client/_caller.py
@@ -87,7 +87,7 @@
     async def __aexit__(self, *exc_info: object) -> None:
         self._exchanger.close()
 
-    async def mint_request_id(self) -> ids.RequestId:
+    async def create_request_id(self) -> ids.RequestId:
         """Return a new request id, HOME.GENERATION.RANDOM.
 
         Raises `errors.FulmarseamError` when no entry answers a look-up or
@@ -126,7 +126,7 @@
         deadline = time.monotonic() + deadline_ms / 1_000
         answer = await self._lookup.get()
         if once and request_id is None:
-            request_id = await self.mint_request_id()
+            request_id = await self.create_request_id()
         attempts: list[Attempt] = []
         reply: _exchange.Reply | None = None
         self._budget.count_request()
@@ -220,7 +220,7 @@
     Returns the results of all tries in order.
     """
     results: list[Result] = []
-    request_id = await caller.mint_request_id()
+    request_id = await caller.create_request_id()
     for _ in range(tries):
         result = await caller.call(request, deadline_ms, True, request_id)
         results.append(result)
