--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -196,7 +196,7 @@
     def _limit_connections(self, now: float) -> None:
         self.connections.set_limits(
             {
-                row.report.address: self.state.book.connection_share(
+                row.report.address: self.state.slots.connection_share(
                     now, row.report.target
                 )
                 for row in self.state.targets.ready()
@@ -209,7 +209,7 @@
         observe('requests_running', lambda: self.callers.busy)
         observe('caller_connections', lambda: self.callers.connections)
         observe('targets_ready', lambda: len(self.state.targets.ready()))
-        observe('requests_in_flight', self.state.book.total_in_flight)
+        observe('requests_in_flight', self.state.slots.total_in_flight)
         observe('revision', lambda: self.state.tables.revision)
         observe('takes_work', lambda: self.state.is_current(self._loop.time()))
 
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -248,16 +248,16 @@
         choice = steering.choose_target(
             pool.view,
             now,
-            self._state.book,
+            self._state.slots,
             self._rng,
             preferred=shifts.preferred(name),
             blocked=blocked,
             avoided=avoided,
         )
-        if choice is None or not self._state.book.take(now, choice.target):
+        if choice is None or not self._state.slots.take(now, choice.target):
             return None
         if not shifts.take(name, choice.region):
-            self._state.book.release(choice.target)
+            self._state.slots.release(choice.target)
             return None
         pool.in_flight += 1
         if choice.is_remote:
@@ -281,7 +281,7 @@
         self, now: float, placement: Placement, refund: bool = False
     ) -> None:
         """End a request; `refund` when no byte of it was sent."""
-        self._state.book.release(placement.choice.target)
+        self._state.slots.release(placement.choice.target)
         pool = self._pools.get(placement.pool)
         if refund:
             self._state.shifts.refund(placement.pool, placement.choice.region)
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -279,7 +279,7 @@
         services = self._services
         choice = placement.choice
         now = self._loop.time()
-        share = self._state.book.connection_share(now, choice.target)
+        share = self._state.slots.connection_share(now, choice.target)
         pool = services.connections.get(choice.address, share)
         pacers = None
         if choice.is_remote:
--- a/fulmarseam/entry/_reports.py
+++ b/fulmarseam/entry/_reports.py
@@ -84,10 +84,10 @@
             revision=state.tables.revision,
             targets_term=state.targets_term,
             targets_version=state.targets_version,
-            ack_term=state.book.ack_term,
-            ack_sequence=state.book.ack_sequence,
-            ack_age_ms=state.book.ack_age_ms(now),
-            uses=state.book.uses(now),
+            ack_term=state.slots.ack_term,
+            ack_sequence=state.slots.ack_sequence,
+            ack_age_ms=state.slots.ack_age_ms(now),
+            uses=state.slots.uses(now),
             demand=self._list_demand(),
             links=state.links.demand(now, self._find_link_demand()),
             announcements=reports,
@@ -151,7 +151,7 @@
             'term': state.term,
             'targets': len(state.targets.ready()),
             'entries': sorted(state.entries),
-            'in_flight': state.book.total_in_flight(),
+            'in_flight': state.slots.total_in_flight(),
             'pools': {
                 pool.pool.name: {
                     'in_flight': pool.in_flight,
--- a/fulmarseam/entry/_state.py
+++ b/fulmarseam/entry/_state.py
@@ -29,7 +29,7 @@
         self.tables = store.Tables()
         self.targets = membership.TargetMirror()
         self.entry_rows = membership.EntryMirror()
-        self.book = steering.SlotBook(options.clock_drift)
+        self.slots = steering.SlotBook(options.clock_drift)
         self.links = steering.LinkTokens(drift=options.clock_drift)
         self.shifts = steering.ShiftBook(options.region)
         self.routes = steering.compile_routes([])
@@ -71,7 +71,7 @@
         self._apply_targets(now, response)
         if self.entry_rows.apply(now, response):
             self._forget_finished_drains()
-        self.book.apply(now, sent_at, response)
+        self.slots.apply(now, sent_at, response)
         self.links.apply(now, sent_at, response)
         confirmed = sent_at - response.leadership_age_ms / 1_000
         if self.tables.revision >= response.revision:
--- a/tests/test_entry_proxy.py
+++ b/tests/test_entry_proxy.py
@@ -375,7 +375,7 @@
             lambda: target.received_bytes.endswith(b'<closed>')
         )
         await self.wait_until(
-            lambda: self.entry.state.book.total_in_flight() == 0
+            lambda: self.entry.state.slots.total_in_flight() == 0
         )
 
     async def test_timed_out_connection_serves_nobody_else(self) -> None:
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -238,7 +238,7 @@
         await self.start_target(fail, 't1', slots=2)
         waiting = [asyncio.create_task(self.call('/same')) for _ in range(2)]
         await self.wait_until(
-            lambda: self.entry.state.book.total_in_flight() == 2
+            lambda: self.entry.state.slots.total_in_flight() == 2
         )
         # More requests wait in the queue when the target is lost.
         waiting += [asyncio.create_task(self.call('/same')) for _ in range(9)]
@@ -275,7 +275,7 @@
         held = [asyncio.create_task(self.call('/held')) for _ in range(2)]
         await self.wait_until(lambda: self.entry.callers.busy == 2)
         await asyncio.sleep(0.05)
-        self.assertEqual(1, self.entry.state.book.total_in_flight())
+        self.assertEqual(1, self.entry.state.slots.total_in_flight())
         answer = await self.call('/other')
         self.assertEqual(200, answer.status)
         gate.set()
@@ -467,7 +467,7 @@
             waiting = asyncio.create_task(self.post())
             await self.wait_until(lambda: self.entry.callers.busy == 1)
             await asyncio.sleep(0.1)
-            self.assertEqual(0, self.entry.state.book.total_in_flight())
+            self.assertEqual(0, self.entry.state.slots.total_in_flight())
             self.assertEqual(200, (await waiting).status)
 
     async def test_stop_does_not_wait_for_a_silent_holder(self) -> None:
