--- a/fulmarseam/entry/_attempts.py
+++ b/fulmarseam/entry/_attempts.py
@@ -45,13 +45,13 @@
 
     def __init__(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         choice: steering.Choice,
         pool: http.TargetPool,
         pacers: tuple[_pacing.Pacer, _pacing.Pacer] | None,
     ) -> None:
-        self._job = job
-        self._caller = job.caller
+        self._context = context
+        self._caller = context.caller
         self._choice = choice
         self._pool = pool
         self._pacers = pacers
@@ -91,7 +91,7 @@
                 self._caller.stop_body_timeout()
 
     async def _open(self, signal: http.Signal) -> http.TargetConnection:
-        left_s = self._job.deadline - self._loop.time()
+        left_s = self._context.deadline - self._loop.time()
         if left_s <= 0.0:
             raise self._time_out()
         return await self._pool.open(signal, left_s)
@@ -112,12 +112,12 @@
 
     def _send_request(self, connection: http.TargetConnection) -> None:
         connection.send_head(
-            self._job.request.method,
-            self._job.path.encode('latin-1'),
+            self._context.request.method,
+            self._context.path.encode('latin-1'),
             self._make_request_headers(),
             are_checked=True,
         )
-        for piece in self._job.kept:
+        for piece in self._context.kept:
             connection.send_data(piece)
             self._charge(0, len(piece))
         if self._caller.body_done:
@@ -127,22 +127,24 @@
             connection.flush()
 
     def _make_request_headers(self) -> http.Headers:
-        job = self._job
+        context = self._context
         headers = http.drop_headers(
-            job.request.headers, job.request.fields, _DROPPED_IN_REQUEST
+            context.request.headers,
+            context.request.fields,
+            _DROPPED_IN_REQUEST,
         )
-        host = job.host.encode('latin-1')
-        if job.request.fields.get(b'host') != host or not host:
+        host = context.host.encode('latin-1')
+        if context.request.fields.get(b'host') != host or not host:
             # The request target names the host, or HTTP/1.0 left it out.
             host = host or self._choice.address.encode()
             headers = [item for item in headers if item[0] != b'host']
             headers.append((b'host', host))
-        if job.request.length is None:
+        if context.request.length is None:
             headers.append((b'transfer-encoding', b'chunked'))
-        left_ms = int((job.deadline - self._loop.time()) * 1_000)
+        left_ms = int((context.deadline - self._loop.time()) * 1_000)
         headers.append((_requests.DEADLINE_HEADER, b'%d' % max(left_ms, 0)))
-        if job.traceparent is not None:
-            headers.append((TRACEPARENT_HEADER, job.traceparent.encode()))
+        if context.traceparent is not None:
+            headers.append((TRACEPARENT_HEADER, context.traceparent.encode()))
         return headers
 
     def _upload(self, connection: http.TargetConnection) -> None:
@@ -159,7 +161,7 @@
                 self._uploading = False
                 self._caller.stop_body_timeout()
                 return
-            self._job.keep(piece)
+            self._context.keep(piece)
             self._charge(0, len(piece))
             connection.send_data(piece)
             connection.flush()
@@ -252,7 +254,7 @@
         await self._caller.signal.wait()
         if self._caller.gone:
             raise http.CallerGoneError('the caller has left')
-        if self._loop.time() >= self._job.deadline:
+        if self._loop.time() >= self._context.deadline:
             raise self._time_out()
 
     def _time_out(self) -> http.TargetError:
--- a/fulmarseam/entry/_claims.py
+++ b/fulmarseam/entry/_claims.py
@@ -34,10 +34,10 @@
     """
 
     def __init__(
-        self, claims: 'Claims', job: _requests.Job, attempt: str
+        self, claims: 'Claims', context: _requests.RequestContext, attempt: str
     ) -> None:
         self._claims = claims
-        self._job = job
+        self._context = context
         self._attempt = attempt
         self._phase = _Phase.NEW
 
@@ -46,12 +46,12 @@
 
         Raises `errors.FulmarseamError` when the request may not run.
         """
-        assert self._job.request_id is not None
-        left_s = self._job.deadline - asyncio.get_running_loop().time()
+        assert self._context.request_id is not None
+        left_s = self._context.deadline - asyncio.get_running_loop().time()
         try:
             result = await self._claims.keeper.claim(
-                self._job.request_id,
-                self._job.print_content(),
+                self._context.request_id,
+                self._context.print_content(),
                 self._attempt,
                 max(left_s, 0.0),
             )
@@ -62,7 +62,7 @@
             raise
         if result.verdict is wire.Verdict.FRESH:
             self._phase = _Phase.HELD
-            if self._job.caller.gone:
+            if self._context.caller.gone:
                 raise http.CallerGoneError('the caller has left')
             return True
         self._phase = _Phase.ENDED
@@ -78,7 +78,7 @@
         kind = kinds.get(result.verdict)
         if kind is not None:
             raise errors.FulmarseamError(
-                kind, f'request id {self._job.request_id}'
+                kind, f'request id {self._context.request_id}'
             )
         stored = result.answer
         if stored is None or stored.body is None:
@@ -90,17 +90,17 @@
             *stored.headers,
             (_answers.OUTCOME_HEADER, _attempts.ANSWERED),
         ]
-        self._job.caller.answer(stored.status, headers, stored.body)
+        self._context.caller.answer(stored.status, headers, stored.body)
 
     def finish(self, answer: wire.StoredAnswer | None) -> None:
         """Store the answer, or with None that the outcome is unknown."""
         if self._phase is not _Phase.HELD:
             return
         self._phase = _Phase.ENDED
-        assert self._job.request_id is not None
+        assert self._context.request_id is not None
         self._claims.spawn(
             self._claims.keeper.finish(
-                self._job.request_id, self._attempt, answer
+                self._context.request_id, self._attempt, answer
             )
         )
 
@@ -109,9 +109,11 @@
         if self._phase is not _Phase.HELD:
             return
         self._phase = _Phase.ENDED
-        assert self._job.request_id is not None
+        assert self._context.request_id is not None
         self._claims.spawn(
-            self._claims.keeper.release(self._job.request_id, self._attempt)
+            self._claims.keeper.release(
+                self._context.request_id, self._attempt
+            )
         )
 
 
@@ -126,31 +128,31 @@
         self._count = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def check_key(self, job: _requests.Job) -> None:
+    def check_key(self, context: _requests.RequestContext) -> None:
         """Refuse a request that lacks the key that its route requires."""
-        if job.route.idempotent:
+        if context.route.idempotent:
             return
-        if job.request_id is None:
-            if job.route.request_id_required:
+        if context.request_id is None:
+            if context.route.request_id_required:
                 raise errors.FulmarseamError(
                     errors.ErrorKind.REQUEST_ID_REQUIRED,
                     'Idempotency-Key: found nothing, expected a key made '
                     'from a look-up answer',
                 )
             return
-        if records.parse_key(job.request_id) is None:
+        if records.parse_key(context.request_id) is None:
             raise errors.FulmarseamError(
                 errors.ErrorKind.REQUEST_ID_REQUIRED,
-                f'Idempotency-Key: found {job.request_id!r}, expected '
+                f'Idempotency-Key: found {context.request_id!r}, expected '
                 'HOME.GENERATION.RANDOM',
             )
 
-    def prepare(self, job: _requests.Job) -> Claim | None:
-        """Return the claim that a job needs, if any."""
-        if job.route.idempotent or job.request_id is None:
+    def prepare(self, context: _requests.RequestContext) -> Claim | None:
+        """Return the claim that a context needs, if any."""
+        if context.route.idempotent or context.request_id is None:
             return None
         self._count += 1
-        return Claim(self, job, f'{self._prefix}.{self._count}')
+        return Claim(self, context, f'{self._prefix}.{self._count}')
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Run a call to the record holder in the background."""
--- a/fulmarseam/entry/_judging.py
+++ b/fulmarseam/entry/_judging.py
@@ -39,7 +39,7 @@
 
     def record_answer(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         placement: _pools.Placement,
         status: int,
         started: float,
@@ -53,16 +53,20 @@
             outcomes.record_success(now, target, now - started)
         self._pools.get(placement.pool).record_service(now - started)
         suspects = self._suspects
-        if suspects.may_exist() and suspects.table.clear(job.fingerprint()):
+        if suspects.may_exist() and suspects.table.clear(
+            context.fingerprint()
+        ):
             self._peers.announce(
                 wire.StrikeNotice(
-                    fingerprint=job.fingerprint(), target=target, cleared=True
+                    fingerprint=context.fingerprint(),
+                    target=target,
+                    cleared=True,
                 )
             )
 
     async def judge(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         placement: _pools.Placement,
         attempt: _attempts.Attempt,
         error: http.TargetError | _attempts.TargetShedError,
@@ -72,35 +76,39 @@
         if isinstance(error, http.TargetError) and (
             error.reason is http.Reason.NO_CONNECTION_LEFT
         ):
-            return self._fail(job, errors.ErrorKind.NO_CAPACITY, error, True)
+            return self._fail(
+                context, errors.ErrorKind.NO_CAPACITY, error, True
+            )
         self._pools.outcomes.record_failure(self._loop.time(), target)
         if isinstance(error, _attempts.TargetShedError):
-            return self._fail(job, errors.ErrorKind.TARGET_SHED, error, True)
+            return self._fail(
+                context, errors.ErrorKind.TARGET_SHED, error, True
+            )
         if attempt.progress is http.Progress.NOT_SENT:
             kind = errors.ErrorKind.NO_TARGET
             if error.reason is http.Reason.TIMED_OUT:
                 kind = errors.ErrorKind.DEADLINE_UNREACHABLE
-            return self._fail(job, kind, error, True)
+            return self._fail(context, kind, error, True)
         if error.reason is http.Reason.TIMED_OUT:
             return self._fail(
-                job, errors.ErrorKind.TARGET_TIMEOUT, error, False
+                context, errors.ErrorKind.TARGET_TIMEOUT, error, False
             )
         state = steering.SuspectState.CLEAR
         if error.reason is http.Reason.BROKEN:
-            state = await self._strike(job, target)
+            state = await self._strike(context, target)
         if state is steering.SuspectState.QUARANTINED:
             return FailedAttempt(make_quarantine_error(), False)
         return self._fail(
-            job,
+            context,
             errors.ErrorKind.TARGET_FAILED,
             error,
-            job.route.idempotent,
+            context.route.idempotent,
         )
 
     async def _strike(
-        self, job: _requests.Job, target: ids.TargetId
+        self, context: _requests.RequestContext, target: ids.TargetId
     ) -> steering.SuspectState:
-        fingerprint = job.fingerprint()
+        fingerprint = context.fingerprint()
         state = self._suspects.strike(fingerprint, target)
         await self._peers.announce_strike(
             wire.StrikeNotice(fingerprint=fingerprint, target=target)
@@ -109,17 +117,17 @@
 
     def _fail(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         kind: errors.ErrorKind,
         error: Exception,
         may_repeat: bool,
     ) -> FailedAttempt:
         repeatable = (
             may_repeat
-            and job.replayable
-            and not job.caller.response_started
-            and not job.caller.gone
-            and self._loop.time() < job.deadline
+            and context.replayable
+            and not context.caller.response_started
+            and not context.caller.gone
+            and self._loop.time() < context.deadline
         )
         return FailedAttempt(
             errors.FulmarseamError(kind, str(error)), repeatable
--- a/fulmarseam/entry/_placing.py
+++ b/fulmarseam/entry/_placing.py
@@ -15,7 +15,7 @@
 
 
 class Placer:
-    """Finds a slot for a job.
+    """Finds a slot for a context.
 
     Suspects and jobs that avoid targets wait apart from the queue: at its
     head they would hold up requests that could use the free slots.
@@ -30,7 +30,7 @@
 
     async def place(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         pool: _pools.PoolState,
         avoided: frozenset[ids.TargetId],
     ) -> _pools.Placement:
@@ -39,54 +39,63 @@
         Raises `errors.FulmarseamError` when there is none in time, and
         `http.CallerGoneError`. A placement ends with `end`.
         """
-        if avoided or self._is_suspect(job):
-            return await self._place_apart(job, pool, avoided)
-        placement = await self._place_in_turn(job, pool)
+        if avoided or self._is_suspect(context):
+            return await self._place_apart(context, pool, avoided)
+        placement = await self._place_in_turn(context, pool)
         if not self._suspects.may_exist():
             return placement
         is_suspect = True
         try:
-            is_suspect = self._is_suspect(job)
+            is_suspect = self._is_suspect(context)
         finally:
             if is_suspect:
                 # It became a suspect while it was waiting.
                 self._pools.release(self._loop.time(), placement, refund=True)
         if not is_suspect:
             return placement
-        return await self._place_apart(job, pool, avoided)
+        return await self._place_apart(context, pool, avoided)
 
     def end(
-        self, job: _requests.Job, placement: _pools.Placement, sent: bool
+        self,
+        context: _requests.RequestContext,
+        placement: _pools.Placement,
+        sent: bool,
     ) -> None:
         """Give the slot back."""
-        if job.runs_as_suspect:
-            job.runs_as_suspect = False
-            self._suspects.finish(job.fingerprint(), placement.choice.target)
+        if context.runs_as_suspect:
+            context.runs_as_suspect = False
+            self._suspects.finish(
+                context.fingerprint(), placement.choice.target
+            )
         self._pools.release(self._loop.time(), placement, refund=not sent)
 
-    def _is_suspect(self, job: _requests.Job) -> bool:
-        """Return whether a job is a suspect; refuse a quarantined one."""
+    def _is_suspect(self, context: _requests.RequestContext) -> bool:
+        """Return whether a context is a suspect; refuse a quarantined one."""
         if not self._suspects.may_exist():
             return False
         state = self._suspects.table.state(
-            self._loop.time(), job.fingerprint()
+            self._loop.time(), context.fingerprint()
         )
         if state is steering.SuspectState.QUARANTINED:
             raise _judging.make_quarantine_error()
         return state is steering.SuspectState.SUSPECT
 
     async def _place_in_turn(
-        self, job: _requests.Job, pool: _pools.PoolState
+        self, context: _requests.RequestContext, pool: _pools.PoolState
     ) -> _pools.Placement:
-        signal = job.caller.signal
+        signal = context.caller.signal
         assert signal is not None
         waiter = _pools.Waiter(signal.notify)
         ticket = self._pools.start(
-            self._loop.time(), pool, waiter, job.route.priority, job.deadline
+            self._loop.time(),
+            pool,
+            waiter,
+            context.route.priority,
+            context.deadline,
         )
         try:
             while waiter.placement is None and waiter.refusal is None:
-                await job.wait()
+                await context.wait()
         except BaseException:
             if ticket is not None:
                 self._pools.cancel(self._loop.time(), pool, ticket)
@@ -100,7 +109,7 @@
 
     async def _place_apart(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         pool: _pools.PoolState,
         avoided: frozenset[ids.TargetId],
     ) -> _pools.Placement:
@@ -109,17 +118,17 @@
                 errors.ErrorKind.QUEUE_FULL,
                 f'{pool.apart} requests wait apart',
             )
-        signal = job.caller.signal
+        signal = context.caller.signal
         assert signal is not None
         pool.apart += 1
         try:
             while True:
-                placement = self._try_place(job, pool, avoided)
+                placement = self._try_place(context, pool, avoided)
                 if placement is not None:
                     return placement
                 timer = self._loop.call_later(LOOK_INTERVAL_S, signal.notify)
                 try:
-                    await job.wait()
+                    await context.wait()
                 finally:
                     timer.cancel()
         finally:
@@ -127,18 +136,20 @@
 
     def _try_place(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         pool: _pools.PoolState,
         avoided: frozenset[ids.TargetId],
     ) -> _pools.Placement | None:
         now = self._loop.time()
-        if not self._is_suspect(job):
+        if not self._is_suspect(context):
             return self._pools.try_place(now, pool, avoided)
-        if self._suspects.is_running(job.fingerprint()):
+        if self._suspects.is_running(context.fingerprint()):
             return None
         avoided |= self._suspects.table.occupied()
         placement = self._pools.try_place(now, pool, avoided)
         if placement is not None:
-            self._suspects.start(job.fingerprint(), placement.choice.target)
-            job.runs_as_suspect = True
+            self._suspects.start(
+                context.fingerprint(), placement.choice.target
+            )
+            context.runs_as_suspect = True
         return placement
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -67,9 +67,9 @@
         route = ''
         kind = ''
         try:
-            job = self._admit(request, caller, started)
-            route = job.route.name
-            await self._run(job)
+            context = self._admit(request, caller, started)
+            route = context.route.name
+            await self._run(context)
         except errors.FulmarseamError as error:
             kind = error.kind.value
             raise
@@ -95,37 +95,37 @@
 
     def _admit(
         self, request: http.Request, caller: http.CallerConnection, now: float
-    ) -> _requests.Job:
-        """Return the job of a request that may run, or refuse it."""
+    ) -> _requests.RequestContext:
+        """Return the context of a request that may run, or refuse it."""
         if not self._state.is_current(now):
             raise errors.FulmarseamError(
                 errors.ErrorKind.CONFIG_STALE,
                 'the configuration is not confirmed by the control leader',
             )
-        job = _requests.Job(request, caller, now)
-        job.route = self._match(job)
-        job.request_id = _requests.read_request_id(request)
-        self._services.claims.check_key(job)
-        pool = self._pools.get(job.route.pool)
-        job.deadline = now + self._find_time_ms(job, pool.pool) / 1_000
+        context = _requests.RequestContext(request, caller, now)
+        context.route = self._match(context)
+        context.request_id = _requests.read_request_id(request)
+        self._services.claims.check_key(context)
+        pool = self._pools.get(context.route.pool)
+        context.deadline = now + self._find_time_ms(context, pool.pool) / 1_000
         pool.arrivals += 1
         pool.budget.count_request()
-        self._state.shifts.arrive(job.route.pool)
-        return job
+        self._state.shifts.arrive(context.route.pool)
+        return context
 
-    def _match(self, job: _requests.Job) -> wire.Route:
+    def _match(self, context: _requests.RequestContext) -> wire.Route:
         match = steering.match_route(
-            self._state.routes, job.host, job.path, job.method
+            self._state.routes, context.host, context.path, context.method
         )
         if match.route is None:
             if match.methods:
                 raise _answers.AllowError(match.methods)
             raise errors.FulmarseamError(
                 match.kind or errors.ErrorKind.NO_ROUTE,
-                f'no route for {job.host} {job.path}',
+                f'no route for {context.host} {context.path}',
             )
         if match.route.retired:
-            self._count_retired(match.route, job.caller.remote_address)
+            self._count_retired(match.route, context.caller.remote_address)
             raise errors.FulmarseamError(
                 errors.ErrorKind.ROUTE_RETIRED,
                 f'route {match.route.name} was retired',
@@ -145,34 +145,36 @@
             'retired_caller_requests_total', route=route.name, caller=address
         )
 
-    def _find_time_ms(self, job: _requests.Job, pool: wire.Pool) -> int:
-        allowed = min(job.route.deadline_ms, pool.max_deadline_ms)
-        stated = _requests.read_deadline_ms(job.request)
+    def _find_time_ms(
+        self, context: _requests.RequestContext, pool: wire.Pool
+    ) -> int:
+        allowed = min(context.route.deadline_ms, pool.max_deadline_ms)
+        stated = _requests.read_deadline_ms(context.request)
         if stated == 0:
             raise errors.FulmarseamError(
                 errors.ErrorKind.DEADLINE_UNREACHABLE, 'no time left'
             )
         return allowed if stated is None else min(allowed, stated)
 
-    async def _run(self, job: _requests.Job) -> None:
-        """Run a job with its deadline, its claim and its span."""
-        signal = job.caller.signal
+    async def _run(self, context: _requests.RequestContext) -> None:
+        """Run a context with its deadline, its claim and its span."""
+        signal = context.caller.signal
         assert signal is not None
-        timer = self._loop.call_at(job.deadline, signal.notify)
-        parent = job.request.fields.get(_attempts.TRACEPARENT_HEADER)
+        timer = self._loop.call_at(context.deadline, signal.notify)
+        parent = context.request.fields.get(_attempts.TRACEPARENT_HEADER)
         span = self._services.tracer.start_span(
             'request',
             None if parent is None else parent.decode('latin-1'),
-            {'route': job.route.name, 'method': job.method},
+            {'route': context.route.name, 'method': context.method},
         )
         try:
             with span:
-                job.traceparent = span.traceparent()
-                if not job.caller.body_done:
-                    await job.read_prefix()
-                claim = self._services.claims.prepare(job)
+                context.traceparent = span.traceparent()
+                if not context.caller.body_done:
+                    await context.read_prefix()
+                claim = self._services.claims.prepare(context)
                 try:
-                    await self._run_claimed(job, claim)
+                    await self._run_claimed(context, claim)
                 finally:
                     if claim is not None:
                         claim.close()
@@ -180,9 +182,9 @@
             timer.cancel()
 
     async def _run_claimed(
-        self, job: _requests.Job, claim: _claims.Claim | None
+        self, context: _requests.RequestContext, claim: _claims.Claim | None
     ) -> None:
-        """Attempt a job until it is answered or may not be repeated.
+        """Attempt a context until it is answered or may not be repeated.
 
         Once an attempt may have run, that is what the caller learns,
         whatever ends a later attempt.
@@ -190,15 +192,15 @@
         if claim is not None and not await claim.acquire():
             return
         avoided: frozenset[ids.TargetId] = frozenset()
-        pool = self._pools.get(job.route.pool)
+        pool = self._pools.get(context.route.pool)
         # Without a claim nothing bounds how often the request may run.
-        is_guarded = job.route.idempotent or claim is not None
+        is_guarded = context.route.idempotent or claim is not None
         attempts = MAX_ATTEMPTS if is_guarded else 1
         may_have_run: errors.FulmarseamError | None = None
         for left in range(attempts - 1, -1, -1):
             try:
-                placement = await self._placer.place(job, pool, avoided)
-                failed = await self._attempt(job, placement, claim)
+                placement = await self._placer.place(context, pool, avoided)
+                failed = await self._attempt(context, placement, claim)
             except errors.FulmarseamError as error:
                 if may_have_run is None:
                     raise
@@ -226,24 +228,24 @@
 
     async def _attempt(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         placement: _pools.Placement,
         claim: _claims.Claim | None,
     ) -> _judging.FailedAttempt | None:
         """Use a placement; None when the caller has its answer."""
         attempt = None
         try:
-            attempt = self._make_attempt(job, placement)
-            return await self._forward(job, placement, attempt, claim)
+            attempt = self._make_attempt(context, placement)
+            return await self._forward(context, placement, attempt, claim)
         finally:
             sent = attempt is not None and (
                 attempt.progress is not http.Progress.NOT_SENT
             )
-            self._placer.end(job, placement, sent)
+            self._placer.end(context, placement, sent)
 
     async def _forward(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         placement: _pools.Placement,
         attempt: _attempts.Attempt,
         claim: _claims.Claim | None,
@@ -254,7 +256,9 @@
         try:
             status = await attempt.run()
         except (http.TargetError, _attempts.TargetShedError) as error:
-            failed = await self._judge.judge(job, placement, attempt, error)
+            failed = await self._judge.judge(
+                context, placement, attempt, error
+            )
             _judging.settle(claim, attempt, error)
             return failed
         except errors.FulmarseamError as error:
@@ -268,13 +272,13 @@
         except BaseException as error:
             _judging.settle(claim, attempt, error)
             raise
-        self._judge.record_answer(job, placement, status, started)
+        self._judge.record_answer(context, placement, status, started)
         if claim is not None:
             claim.finish(attempt.kept_answer)
         return None
 
     def _make_attempt(
-        self, job: _requests.Job, placement: _pools.Placement
+        self, context: _requests.RequestContext, placement: _pools.Placement
     ) -> _attempts.Attempt:
         services = self._services
         choice = placement.choice
@@ -283,14 +287,14 @@
         pool = services.connections.get(choice.address, share)
         pacers = None
         if choice.is_remote:
-            pacers = self._make_pacers(job, choice.region)
-        return _attempts.Attempt(job, choice, pool, pacers)
+            pacers = self._make_pacers(context, choice.region)
+        return _attempts.Attempt(context, choice, pool, pacers)
 
     def _make_pacers(
-        self, job: _requests.Job, region: ids.RegionName
+        self, context: _requests.RequestContext, region: ids.RegionName
     ) -> tuple[_pacing.Pacer, _pacing.Pacer]:
         own = self._services.region
-        signal = job.caller.signal
+        signal = context.caller.signal
         assert signal is not None
         links = self._state.links
         return (
--- a/fulmarseam/entry/_requests.py
+++ b/fulmarseam/entry/_requests.py
@@ -17,7 +17,7 @@
 REPLAY_BYTES = 64 * 1024
 
 
-class Job:
+class RequestContext:
     """One request: its head, its deadline and the body kept for replay.
 
     `deadline` is in seconds of the event loop's clock.
