--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -112,7 +112,7 @@
         )
 
     def _make_caller_server(self, tracer: telemetry.Tracer) -> http.Server:
-        services = _proxying.Services(
+        dependencies = _proxying.Dependencies(
             state=self.state,
             pools=self.pools,
             connections=self.connections,
@@ -123,7 +123,7 @@
             tracer=tracer,
             region=self._options.region,
         )
-        self.proxy = _proxying.Proxy(services)
+        self.proxy = _proxying.Proxy(dependencies)
         return http.Server(
             self._options.listen,
             self.proxy.handle,
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -30,7 +30,7 @@
 _log = logbook.Logger('entry')
 
 
-class Services(NamedTuple):
+class Dependencies(NamedTuple):
     """What the proxy path uses."""
 
     state: _state.SharedState
@@ -47,14 +47,16 @@
 class Proxy:
     """Runs callers' requests on targets."""
 
-    def __init__(self, services: Services) -> None:
-        self._services = services
-        self._state = services.state
-        self._pools = services.pools
+    def __init__(self, dependencies: Dependencies) -> None:
+        self._dependencies = dependencies
+        self._state = dependencies.state
+        self._pools = dependencies.pools
         self._judge = _judging.Judge(
-            services.pools, services.suspects, services.peers
+            dependencies.pools, dependencies.suspects, dependencies.peers
+        )
+        self._placer = _placing.Placer(
+            dependencies.pools, dependencies.suspects
         )
-        self._placer = _placing.Placer(services.pools, services.suspects)
         self._loop = asyncio.get_running_loop()
         self._counts: dict[tuple[str, str], int] = {}
         self._retired_callers: set[tuple[str, str]] = set()
@@ -81,14 +83,14 @@
             self._counts[counted] = self._counts.get(counted, 0) + 1
             if not kind:
                 elapsed = self._loop.time() - started
-                self._services.metrics.record(
+                self._dependencies.metrics.record(
                     'request_seconds', elapsed, route=route
                 )
 
     def flush_counts(self) -> None:
         """Pass the counts of requests on to the metrics; on a tick."""
         for (route, kind), count in self._counts.items():
-            self._services.metrics.add(
+            self._dependencies.metrics.add(
                 'requests_total', count, route=route, kind=kind
             )
         self._counts.clear()
@@ -105,7 +107,7 @@
         context = _requests.RequestContext(request, caller, now)
         context.route = self._match(context)
         context.request_id = _requests.read_request_id(request)
-        self._services.claims.check_key(context)
+        self._dependencies.claims.check_key(context)
         pool = self._pools.get(context.route.pool)
         context.deadline = now + self._find_time_ms(context, pool.pool) / 1_000
         pool.arrivals += 1
@@ -133,7 +135,7 @@
         return match.route
 
     def _count_retired(self, route: wire.Route, address: str) -> None:
-        metrics = self._services.metrics
+        metrics = self._dependencies.metrics
         metrics.add('retired_requests_total', route=route.name)
         known = (route.name, address)
         if known not in self._retired_callers:
@@ -162,7 +164,7 @@
         assert signal is not None
         timer = self._loop.call_at(context.deadline, signal.notify)
         parent = context.request.fields.get(_attempts.TRACEPARENT_HEADER)
-        span = self._services.tracer.start_span(
+        span = self._dependencies.tracer.start_span(
             'request',
             None if parent is None else parent.decode('latin-1'),
             {'route': context.route.name, 'method': context.method},
@@ -172,7 +174,7 @@
                 context.traceparent = span.traceparent()
                 if not context.caller.body_done:
                     await context.read_prefix()
-                claim = self._services.claims.prepare(context)
+                claim = self._dependencies.claims.prepare(context)
                 try:
                     await self._run_claimed(context, claim)
                 finally:
@@ -214,7 +216,9 @@
                 raise may_have_run or failed.error
             if not self._has_other(pool, avoided) or not pool.budget.take():
                 raise may_have_run or failed.error
-            self._services.metrics.add('retries_total', pool=pool.pool.name)
+            self._dependencies.metrics.add(
+                'retries_total', pool=pool.pool.name
+            )
 
     def _has_other(
         self, pool: _pools.PoolState, avoided: frozenset[ids.TargetId]
@@ -280,11 +284,11 @@
     def _make_attempt(
         self, context: _requests.RequestContext, placement: _pools.Placement
     ) -> _attempts.Attempt:
-        services = self._services
+        dependencies = self._dependencies
         choice = placement.choice
         now = self._loop.time()
         share = self._state.slots.connection_share(now, choice.target)
-        pool = services.connections.get(choice.address, share)
+        pool = dependencies.connections.get(choice.address, share)
         pacers = None
         if choice.is_remote:
             pacers = self._make_pacers(context, choice.region)
@@ -293,7 +297,7 @@
     def _make_pacers(
         self, context: _requests.RequestContext, region: ids.RegionName
     ) -> tuple[_pacing.Pacer, _pacing.Pacer]:
-        own = self._services.region
+        own = self._dependencies.region
         signal = context.caller.signal
         assert signal is not None
         links = self._state.links
