--- a/fulmarseam/entry/_placing.py
+++ b/fulmarseam/entry/_placing.py
@@ -85,27 +85,27 @@
     ) -> _pools.Placement:
         signal = context.caller.signal
         assert signal is not None
-        waiter = _pools.Waiter(signal.notify)
+        queued = _pools.QueuedRequest(signal.notify)
         ticket = self._pools.start(
             self._loop.time(),
             pool,
-            waiter,
+            queued,
             context.route.priority,
             context.deadline,
         )
         try:
-            while waiter.placement is None and waiter.refusal is None:
+            while queued.placement is None and queued.refusal is None:
                 await context.wait()
         except BaseException:
             if ticket is not None:
                 self._pools.cancel(self._loop.time(), pool, ticket)
             raise
-        if waiter.placement is None:
-            assert waiter.refusal is not None
+        if queued.placement is None:
+            assert queued.refusal is not None
             raise errors.FulmarseamError(
-                waiter.refusal, f'no slot of pool {pool.pool.name} in time'
+                queued.refusal, f'no slot of pool {pool.pool.name} in time'
             )
-        return waiter.placement
+        return queued.placement
 
     async def _place_apart(
         self,
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class Waiter:
+class QueuedRequest:
     """A request that waits for a slot.
 
     `notify` is called when `placement` or `refusal` has been set.
@@ -50,8 +50,8 @@
     def __init__(self, pool: wire.Pool, place: steering.Place) -> None:
         self.pool = pool
         self.view = steering.PoolView(pool, place)
-        self.queue: steering.RequestQueue[Waiter] = steering.RequestQueue(
-            pool.queue_limit
+        self.queue: steering.RequestQueue[QueuedRequest] = (
+            steering.RequestQueue(pool.queue_limit)
         )
         self.budget = steering.RetryBudget(pool.retry_ratio)
         self.in_flight = 0
@@ -196,35 +196,38 @@
         self,
         now: float,
         pool: PoolState,
-        waiter: Waiter,
+        queued: QueuedRequest,
         priority: int,
         deadline: float,
-    ) -> steering.Ticket[Waiter] | None:
+    ) -> steering.Ticket[QueuedRequest] | None:
         """Place a request or queue it.
 
-        Returns None when `waiter` has been placed or refused. A ticket of
+        Returns None when `queued` has been placed or refused. A ticket of
         a request that stops to wait goes to `cancel`.
         """
         if not len(pool.queue):
-            waiter.placement = self.try_place(now, pool)
-            if waiter.placement is not None:
+            queued.placement = self.try_place(now, pool)
+            if queued.placement is not None:
                 return None
         if self._is_out_of_touch(now):
-            waiter.refusal = errors.ErrorKind.NO_CAPACITY
+            queued.refusal = errors.ErrorKind.NO_CAPACITY
             return None
         admission = pool.queue.push(
-            now, waiter, priority, deadline, pool.service_s
+            now, queued, priority, deadline, pool.service_s
         )
         if admission.evicted is not None:
             admission.evicted.item.refusal = errors.ErrorKind.QUEUE_FULL
             admission.evicted.item.notify()
-        waiter.refusal = admission.kind
+        queued.refusal = admission.kind
         if pool.wanted > pool.reported_wanted:
             self._request_sync()
         return admission.ticket
 
     def cancel(
-        self, now: float, pool: PoolState, ticket: steering.Ticket[Waiter]
+        self,
+        now: float,
+        pool: PoolState,
+        ticket: steering.Ticket[QueuedRequest],
     ) -> None:
         """Stop to wait; a slot that was just given goes back."""
         if pool.queue.cancel(ticket):
