--- a/fulmarseam/entry/_announcements.py
+++ b/fulmarseam/entry/_announcements.py
@@ -18,7 +18,7 @@
     acknowledged: asyncio.Event
 
 
-class AnnouncementBook:
+class PendingAnnouncements:
     """Holds the newest announcement of each target until the leader has it.
 
     Older announcements by (incarnation, sequence) never replace newer ones.
--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -51,10 +51,10 @@
         self.stopping = asyncio.Event()
         self.metrics = telemetry.Metrics()
         self.state = _state.SharedState(options)
-        self.announcements = _announcements.AnnouncementBook()
+        self.announcements = _announcements.PendingAnnouncements()
         self.suspects = _suspects.Suspects()
         self.connections = http.TargetPools()
-        self.pools = _pools.PoolBook(
+        self.pools = _pools.Pools(
             self.state,
             steering.Place(options.region, options.failure_domain),
             random.Random(),
--- a/fulmarseam/entry/_judging.py
+++ b/fulmarseam/entry/_judging.py
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        pools: _pools.PoolBook,
+        pools: _pools.Pools,
         suspects: _suspects.Suspects,
         peers: _peers.Peers,
     ) -> None:
--- a/fulmarseam/entry/_placing.py
+++ b/fulmarseam/entry/_placing.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(
-        self, pools: _pools.PoolBook, suspects: _suspects.Suspects
+        self, pools: _pools.Pools, suspects: _suspects.Suspects
     ) -> None:
         self._pools = pools
         self._suspects = suspects
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -26,7 +26,7 @@
 
 
 class Placement(NamedTuple):
-    """A request's slot on a target; ended with `PoolBook.release`."""
+    """A request's slot on a target; ended with `Pools.release`."""
 
     choice: steering.Choice
     pool: ids.PoolName
@@ -100,7 +100,7 @@
             self.service_s = statistics.median(self._service_times)
 
 
-class PoolBook:
+class Pools:
     """All pools of an entry; places requests on their targets."""
 
     def __init__(
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -34,7 +34,7 @@
     """What the proxy path uses."""
 
     state: _state.SharedState
-    pools: _pools.PoolBook
+    pools: _pools.Pools
     connections: http.TargetPools
     suspects: _suspects.Suspects
     peers: _peers.Peers
--- a/fulmarseam/entry/_reports.py
+++ b/fulmarseam/entry/_reports.py
@@ -30,8 +30,8 @@
         self,
         options: settings.EntrySettings,
         state: _state.SharedState,
-        pools: _pools.PoolBook,
-        announcements: _announcements.AnnouncementBook,
+        pools: _pools.Pools,
+        announcements: _announcements.PendingAnnouncements,
         list_copies: Callable[[], list[wire.RecordCopy]],
     ) -> None:
         self._options = options
--- a/fulmarseam/entry/_syncing.py
+++ b/fulmarseam/entry/_syncing.py
@@ -89,7 +89,7 @@
         self,
         members: dict[ids.MemberId, str],
         state: _state.SharedState,
-        announcements: _announcements.AnnouncementBook,
+        announcements: _announcements.PendingAnnouncements,
         make_request: MakeRequest,
         raise_incarnation: Callable[[], None],
     ) -> None:
