--- a/fulmarseam/entry/_placing.py
+++ b/fulmarseam/entry/_placement.py
@@ -14,7 +14,7 @@
 LOOK_INTERVAL_S = 0.01
 
 
-class Placer:
+class Scheduler:
     """Finds a slot for a context.
 
     Suspects and jobs that avoid targets wait apart from the queue: at its
@@ -28,7 +28,7 @@
         self._suspects = suspects
         self._loop = asyncio.get_running_loop()
 
-    async def place(
+    async def wait_for_slot(
         self,
         context: _requests.RequestContext,
         pool: _pools.PoolState,
@@ -37,11 +37,11 @@
         """Wait for a slot that is not on an avoided target.
 
         Raises `errors.FulmarseamError` when there is none in time, and
-        `http.CallerGoneError`. A placement ends with `end`.
+        `http.CallerGoneError`. A placement ends with `release`.
         """
         if avoided or self._is_suspect(context):
-            return await self._place_apart(context, pool, avoided)
-        placement = await self._place_in_turn(context, pool)
+            return await self._wait_outside_queue(context, pool, avoided)
+        placement = await self._wait_in_queue(context, pool)
         if not self._suspects.may_exist():
             return placement
         is_suspect = True
@@ -53,9 +53,9 @@
                 self._pools.release(self._loop.time(), placement, refund=True)
         if not is_suspect:
             return placement
-        return await self._place_apart(context, pool, avoided)
+        return await self._wait_outside_queue(context, pool, avoided)
 
-    def end(
+    def release(
         self,
         context: _requests.RequestContext,
         placement: _pools.Placement,
@@ -80,7 +80,7 @@
             raise _judging.make_quarantine_error()
         return state is steering.SuspectState.SUSPECT
 
-    async def _place_in_turn(
+    async def _wait_in_queue(
         self, context: _requests.RequestContext, pool: _pools.PoolState
     ) -> _pools.Placement:
         signal = context.caller.signal
@@ -107,7 +107,7 @@
             )
         return queued.placement
 
-    async def _place_apart(
+    async def _wait_outside_queue(
         self,
         context: _requests.RequestContext,
         pool: _pools.PoolState,
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -17,7 +17,7 @@
 from fulmarseam.entry import _judging
 from fulmarseam.entry import _pacing
 from fulmarseam.entry import _peers
-from fulmarseam.entry import _placing
+from fulmarseam.entry import _placement
 from fulmarseam.entry import _pools
 from fulmarseam.entry import _requests
 from fulmarseam.entry import _state
@@ -54,7 +54,7 @@
         self._judge = _judging.Judge(
             dependencies.pools, dependencies.suspects, dependencies.peers
         )
-        self._placer = _placing.Placer(
+        self._scheduler = _placement.Scheduler(
             dependencies.pools, dependencies.suspects
         )
         self._loop = asyncio.get_running_loop()
@@ -201,7 +201,9 @@
         may_have_run: errors.FulmarseamError | None = None
         for left in range(attempts - 1, -1, -1):
             try:
-                placement = await self._placer.place(context, pool, avoided)
+                placement = await self._scheduler.wait_for_slot(
+                    context, pool, avoided
+                )
                 failed = await self._attempt(context, placement, claim)
             except errors.FulmarseamError as error:
                 if may_have_run is None:
@@ -245,7 +247,7 @@
             sent = attempt is not None and (
                 attempt.progress is not http.Progress.NOT_SENT
             )
-            self._placer.end(context, placement, sent)
+            self._scheduler.release(context, placement, sent)
 
     async def _forward(
         self,
