--- a/fulmarseam/entry/_judging.py
+++ b/fulmarseam/entry/_outcomes.py
@@ -23,7 +23,7 @@
     may_repeat: bool
 
 
-class Judge:
+class OutcomeHandler:
     """Counts the outcomes of attempts and decides on what callers learn."""
 
     def __init__(
@@ -37,7 +37,7 @@
         self._peers = peers
         self._loop = asyncio.get_running_loop()
 
-    def record_answer(
+    def record_response(
         self,
         context: _requests.RequestContext,
         placement: _pools.Placement,
@@ -64,7 +64,7 @@
                 )
             )
 
-    async def judge(
+    async def handle_failure(
         self,
         context: _requests.RequestContext,
         placement: _pools.Placement,
@@ -134,7 +134,7 @@
         )
 
 
-def settle(
+def settle_claim(
     claim: _claims.Claim | None,
     attempt: _attempts.Attempt,
     error: BaseException,
--- a/fulmarseam/entry/_placement.py
+++ b/fulmarseam/entry/_placement.py
@@ -5,7 +5,7 @@
 from fulmarseam import errors
 from fulmarseam import ids
 from fulmarseam import steering
-from fulmarseam.entry import _judging
+from fulmarseam.entry import _outcomes
 from fulmarseam.entry import _pools
 from fulmarseam.entry import _requests
 from fulmarseam.entry import _suspects
@@ -77,7 +77,7 @@
             self._loop.time(), context.fingerprint()
         )
         if state is steering.SuspectState.QUARANTINED:
-            raise _judging.make_quarantine_error()
+            raise _outcomes.make_quarantine_error()
         return state is steering.SuspectState.SUSPECT
 
     async def _wait_in_queue(
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -14,7 +14,7 @@
 from fulmarseam.entry import _answers
 from fulmarseam.entry import _attempts
 from fulmarseam.entry import _claims
-from fulmarseam.entry import _judging
+from fulmarseam.entry import _outcomes
 from fulmarseam.entry import _pacing
 from fulmarseam.entry import _peers
 from fulmarseam.entry import _placement
@@ -51,7 +51,7 @@
         self._dependencies = dependencies
         self._state = dependencies.state
         self._pools = dependencies.pools
-        self._judge = _judging.Judge(
+        self._outcome_handler = _outcomes.OutcomeHandler(
             dependencies.pools, dependencies.suspects, dependencies.peers
         )
         self._scheduler = _placement.Scheduler(
@@ -237,7 +237,7 @@
         context: _requests.RequestContext,
         placement: _pools.Placement,
         claim: _claims.Claim | None,
-    ) -> _judging.FailedAttempt | None:
+    ) -> _outcomes.FailedAttempt | None:
         """Use a placement; None when the caller has its answer."""
         attempt = None
         try:
@@ -255,20 +255,20 @@
         placement: _pools.Placement,
         attempt: _attempts.Attempt,
         claim: _claims.Claim | None,
-    ) -> _judging.FailedAttempt | None:
-        """Run one attempt and settle its claim."""
+    ) -> _outcomes.FailedAttempt | None:
+        """Run one attempt and settle_claim its claim."""
         attempt.keep_answer = claim is not None
         started = self._loop.time()
         try:
             status = await attempt.run()
         except (http.TargetError, _attempts.TargetShedError) as error:
-            failed = await self._judge.judge(
+            failed = await self._outcome_handler.handle_failure(
                 context, placement, attempt, error
             )
-            _judging.settle(claim, attempt, error)
+            _outcomes.settle_claim(claim, attempt, error)
             return failed
         except errors.FulmarseamError as error:
-            _judging.settle(claim, attempt, error)
+            _outcomes.settle_claim(claim, attempt, error)
             if attempt.progress is http.Progress.NOT_SENT:
                 raise
             raise errors.FulmarseamError(
@@ -276,9 +276,11 @@
                 f'the request body broke off: {error.detail}',
             ) from error
         except BaseException as error:
-            _judging.settle(claim, attempt, error)
+            _outcomes.settle_claim(claim, attempt, error)
             raise
-        self._judge.record_answer(context, placement, status, started)
+        self._outcome_handler.record_response(
+            context, placement, status, started
+        )
         if claim is not None:
             claim.finish(attempt.kept_answer)
         return None
