--- a/fulmarseam/entry/_claims.py
+++ b/fulmarseam/entry/_claims.py
@@ -49,7 +49,7 @@
         assert self._context.request_id is not None
         left_s = self._context.deadline - asyncio.get_running_loop().time()
         try:
-            result = await self._claims.keeper.claim(
+            result = await self._claims.record_service.claim(
                 self._context.request_id,
                 self._context.print_content(),
                 self._attempt,
@@ -99,7 +99,7 @@
         self._phase = _Phase.ENDED
         assert self._context.request_id is not None
         self._claims.spawn(
-            self._claims.keeper.finish(
+            self._claims.record_service.finish(
                 self._context.request_id, self._attempt, answer
             )
         )
@@ -111,7 +111,7 @@
         self._phase = _Phase.ENDED
         assert self._context.request_id is not None
         self._claims.spawn(
-            self._claims.keeper.release(
+            self._claims.record_service.release(
                 self._context.request_id, self._attempt
             )
         )
@@ -121,9 +121,9 @@
     """Makes claims; stores their results in the background."""
 
     def __init__(
-        self, keeper: _records.RecordKeeper, attempt_prefix: str
+        self, record_service: _records.RecordService, attempt_prefix: str
     ) -> None:
-        self.keeper = keeper
+        self.record_service = record_service
         self._prefix = attempt_prefix
         self._count = 0
         self._tasks: set[asyncio.Task[None]] = set()
--- a/fulmarseam/entry/_records.py
+++ b/fulmarseam/entry/_records.py
@@ -5,7 +5,7 @@
 from fulmarseam import wire
 
 
-class RecordKeeper(Protocol):
+class RecordService(Protocol):
     """Claims the right to run a request once; see `records.RecordClient`.
 
     `attempt` names one processing of the request by one entry. Only FRESH
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -314,7 +314,7 @@
         self.assertEqual(1, len(hit))
 
 
-class FakeKeeper:
+class FakeRecordService:
     """A record holder with scripted verdicts."""
 
     def __init__(self) -> None:
@@ -352,8 +352,8 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.keeper = FakeKeeper()
-        self.entry.claims.keeper = self.keeper
+        self.record_service = FakeRecordService()
+        self.entry.claims.record_service = self.record_service
 
     async def post(
         self, headers: str = KEY, path: str = '/'
@@ -368,14 +368,16 @@
             answer = await self.post(headers)
             self.assertEqual((400, 'not-run'), (answer.status, answer.outcome))
         self.assertEqual(b'', target.received_bytes)
-        self.assertEqual([], self.keeper.calls)
+        self.assertEqual([], self.record_service.calls)
 
     async def test_answer_is_stored(self) -> None:
         await self.start_target(fakes.answer_always(OK))
         answer = await self.post()
         self.assertEqual(200, answer.status)
-        self.assertEqual(('claim', 'ost.1.0123456789'), self.keeper.calls[0])
-        name, stored = self.keeper.calls[1]
+        self.assertEqual(
+            ('claim', 'ost.1.0123456789'), self.record_service.calls[0]
+        )
+        name, stored = self.record_service.calls[1]
         assert isinstance(stored, wire.StoredAnswer)
         self.assertEqual(('finish', b'ok'), (name, stored.body))
 
@@ -385,7 +387,7 @@
         await self.start_target(fakes.answer_always(head + body))
         answer = await self.post()
         self.assertEqual(body, answer.body)
-        _, stored = self.keeper.calls[1]
+        _, stored = self.record_service.calls[1]
         assert isinstance(stored, wire.StoredAnswer)
         self.assertIsNone(stored.body)
 
@@ -410,14 +412,16 @@
         ]
         for found, answer, expected in cases:
             with self.subTest(found):
-                self.keeper.verdict = wire.RecordVerdict(
+                self.record_service.verdict = wire.RecordVerdict(
                     verdict=found, answer=answer
                 )
                 received = await self.post()
                 self.assertEqual(expected, received.describe())
         self.assertEqual(b'kept', received.body)
         self.assertEqual(b'', target.received_bytes)
-        self.assertEqual({'claim'}, {name for name, _ in self.keeper.calls})
+        self.assertEqual(
+            {'claim'}, {name for name, _ in self.record_service.calls}
+        )
 
     async def test_repeat_through_another_address_is_the_same(self) -> None:
         """A caller that uses addresses names another host each time."""
@@ -438,32 +442,32 @@
                 + b'Content-Length: 3\r\n\r\n'
                 + body
             )
-        prints = self.keeper.prints
+        prints = self.record_service.prints
         self.assertEqual(5, len(prints))
         self.assertEqual(1, len(set(prints[:3])))
         self.assertEqual(3, len(set(prints)))
 
     async def test_silent_holder_gets_a_release(self) -> None:
         target = await self.start_target(fakes.answer_always(OK))
-        self.keeper.verdict = errors.FulmarseamError(
+        self.record_service.verdict = errors.FulmarseamError(
             errors.ErrorKind.RECORD_UNAVAILABLE
         )
         answer = await self.post()
         self.assertEqual(
             (503, 'record_unavailable', 'unknown'), answer.describe()
         )
-        self.assertEqual('release', self.keeper.calls[-1][0])
+        self.assertEqual('release', self.record_service.calls[-1][0])
         self.assertEqual(b'', target.received_bytes)
 
     async def test_silent_holder_occupies_no_slot(self) -> None:
         await self.start_target(fakes.answer_always(OK), slots=1)
-        claim = self.keeper.claim
+        claim = self.record_service.claim
 
         async def wait(*arguments: Any) -> wire.RecordVerdict:
             await asyncio.sleep(0.5)
             return await claim(*arguments)
 
-        with mock.patch.object(self.keeper, 'claim', wait):
+        with mock.patch.object(self.record_service, 'claim', wait):
             waiting = asyncio.create_task(self.post())
             await self.wait_until(lambda: self.entry.callers.busy == 1)
             await asyncio.sleep(0.1)
@@ -475,7 +479,7 @@
             await asyncio.sleep(60)
 
         await self.start_target(fakes.answer_always(OK))
-        with mock.patch.object(self.keeper, 'finish', never):
+        with mock.patch.object(self.record_service, 'finish', never):
             await self.call('/', 'POST', b'abc', KEY)
             async with asyncio.timeout(1.0):
                 self.assertEqual(1, await self.entry.claims.flush(0.05))
@@ -486,14 +490,14 @@
         await self.wait_until(lambda: self.is_usable('t1'))
         answer = await self.post()
         self.assertEqual('no_target', answer.kind)
-        names = [name for name, _ in self.keeper.calls]
+        names = [name for name, _ in self.record_service.calls]
         self.assertEqual(['claim', 'release'], names)
 
     async def test_declared_not_run_is_released(self) -> None:
         await self.start_target(fakes.answer_always(SHED))
         answer = await self.post()
         self.assertEqual('target_shed', answer.kind)
-        names = [name for name, _ in self.keeper.calls]
+        names = [name for name, _ in self.record_service.calls]
         self.assertEqual(['claim', 'release'], names)
 
     async def test_broken_request_stays_unknown_and_is_not_repeated(
@@ -507,7 +511,7 @@
         self.assertEqual('target_failed', answer.kind)
         self.assertEqual(
             [('claim', 'ost.1.0123456789'), ('finish', None)],
-            self.keeper.calls,
+            self.record_service.calls,
         )
         received = b''.join(target.received_bytes for target in targets)
         self.assertEqual(1, received.count(b'POST'))
@@ -530,5 +534,5 @@
         )
         await self.wait_until(lambda: target.received_bytes)
         writer.close()
-        await self.wait_until(lambda: len(self.keeper.calls) == 2)
-        self.assertEqual(('finish', None), self.keeper.calls[1])
+        await self.wait_until(lambda: len(self.record_service.calls) == 2)
+        self.assertEqual(('finish', None), self.record_service.calls[1])
