--- a/fulmarseam/bench/_cluster.py
+++ b/fulmarseam/bench/_cluster.py
@@ -305,8 +305,8 @@
         self, name: str, command: standin.TargetCommand
     ) -> None:
         """Change the behaviour of a target."""
-        exchanger = client.Exchanger()
-        with contextlib.closing(exchanger):
+        http_client = client.HttpClient()
+        with contextlib.closing(http_client):
             request = client.Request(
                 'POST',
                 name,
@@ -315,16 +315,16 @@
                 msgspec.json.encode(command),
             )
             address = self.addresses[name].listen
-            reply = await exchanger.send(address, request, 5.0)
+            reply = await http_client.send(address, request, 5.0)
             assert reply.status == 200, reply
 
     async def read_metrics(self, name: str) -> dict[str, float]:
         """Return the metrics page of a daemon as a mapping."""
-        exchanger = client.Exchanger()
-        with contextlib.closing(exchanger):
+        http_client = client.HttpClient()
+        with contextlib.closing(http_client):
             request = client.Request('GET', name, '/metrics')
             address = self.addresses[name].api
-            reply = await exchanger.send(address, request, 5.0)
+            reply = await http_client.send(address, request, 5.0)
         lines = reply.body.decode().splitlines()
         pairs = [line.rpartition(' ') for line in lines if line[:1] != '#']
         return {name: float(value) for name, _, value in pairs}
--- a/fulmarseam/bench/_links.py
+++ b/fulmarseam/bench/_links.py
@@ -111,7 +111,7 @@
     ) -> None:
         """Apply a fault; raises `client.ExchangeError` on failure."""
         assert self.faulty, 'faults need links through the proxy'
-        exchanger = client.Exchanger()
+        http_client = client.HttpClient()
         try:
             for side in sides:
                 body = {
@@ -123,13 +123,13 @@
                 request = client.Request(
                     'POST', 'proxy', '/', {}, json.dumps(body).encode()
                 )
-                reply = await exchanger.send(
+                reply = await http_client.send(
                     self.control, request, COMMAND_TIMEOUT_S
                 )
                 if reply.status != 200:
                     raise client.ExchangeError(str(reply.body), True, True)
         finally:
-            exchanger.close()
+            http_client.close()
 
     async def heal(self, late: bool = True) -> None:
         """End all faults; held bytes arrive late or are dropped."""
--- a/fulmarseam/bench/_run.py
+++ b/fulmarseam/bench/_run.py
@@ -86,7 +86,7 @@
         self, caller: client.Caller, route: wire.Route, name: str
     ) -> None:
         address = self.cluster.find_entry_address(name)
-        exchanger = client.Exchanger()
+        http_client = client.HttpClient()
 
         async def is_answered() -> bool:
             headers = {'Fulmarseam-Deadline-Ms': '500'}
@@ -95,12 +95,12 @@
                     key = await caller.create_request_id()
                     headers['Idempotency-Key'] = key
                 request = client.Request('GET', route.host, '/', headers)
-                reply = await exchanger.send(address, request, 2.0)
+                reply = await http_client.send(address, request, 2.0)
             except (client.ExchangeError, errors.FulmarseamError):
                 return False
             return reply.status == 200
 
-        with contextlib.closing(exchanger):
+        with contextlib.closing(http_client):
             await _waiting.wait_until(
                 is_answered, WARM_UP_S, f'{name} answers on {route.name}'
             )
--- a/fulmarseam/client/__init__.py
+++ b/fulmarseam/client/__init__.py
@@ -16,7 +16,7 @@
 from fulmarseam.client._caller import read_outcome
 from fulmarseam.client._caller import Result
 from fulmarseam.client._exchange import ExchangeError
-from fulmarseam.client._exchange import Exchanger
+from fulmarseam.client._exchange import HttpClient
 from fulmarseam.client._exchange import Reply
 from fulmarseam.client._exchange import Request
 from fulmarseam.client._lookup import LookupAnswer
@@ -28,7 +28,7 @@
     'Attempt',
     'Caller',
     'ExchangeError',
-    'Exchanger',
+    'HttpClient',
     'LookupAnswer',
     'LookupEntry',
     'RecordHome',
--- a/fulmarseam/client/_announcer.py
+++ b/fulmarseam/client/_announcer.py
@@ -37,7 +37,7 @@
         self._describe = describe
         self._renew_s = renew_s
         self._sequence = 0
-        self._exchanger = _exchange.Exchanger()
+        self._http_client = _exchange.HttpClient()
 
     async def run(self) -> None:
         """Announce at each interval until cancelled."""
@@ -86,7 +86,7 @@
             msgspec.json.encode(numbered),
         )
         with contextlib.suppress(_exchange.ExchangeError):
-            reply = await self._exchanger.send(
+            reply = await self._http_client.send(
                 api, request, ANNOUNCE_TIMEOUT_S
             )
             if reply.status == 200:
@@ -96,4 +96,4 @@
 
     def close(self) -> None:
         """Close the connections to the entries."""
-        self._exchanger.close()
+        self._http_client.close()
--- a/fulmarseam/client/_caller.py
+++ b/fulmarseam/client/_caller.py
@@ -77,15 +77,15 @@
     def __init__(
         self, apis: Sequence[str], region: str, address: str | None = None
     ) -> None:
-        self._exchanger = _exchange.Exchanger()
-        self._lookup = _lookup.Lookup(apis, region, self._exchanger, address)
+        self._http_client = _exchange.HttpClient()
+        self._lookup = _lookup.Lookup(apis, region, self._http_client, address)
         self._budget = steering.RetryBudget(OVERLOAD_RETRY_RATIO)
 
     async def __aenter__(self) -> Self:
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        self._exchanger.close()
+        self._http_client.close()
 
     async def create_request_id(self) -> ids.RequestId:
         """Return a new request id, HOME.GENERATION.RANDOM.
@@ -164,7 +164,7 @@
     ) -> tuple[Attempt, _exchange.Reply | None]:
         sent = time.monotonic()
         try:
-            reply = await self._exchanger.send(
+            reply = await self._http_client.send(
                 address, request, left_s + ANSWER_GRACE_S
             )
         except _exchange.ExchangeError as error:
--- a/fulmarseam/client/_exchange.py
+++ b/fulmarseam/client/_exchange.py
@@ -143,7 +143,7 @@
             self._writer.close()
 
 
-class Exchanger:
+class HttpClient:
     """Sends requests and keeps idle connections for the next ones.
 
     A connection is kept only after a whole answer. It belongs to one event
--- a/fulmarseam/client/_lookup.py
+++ b/fulmarseam/client/_lookup.py
@@ -52,13 +52,13 @@
         self,
         apis: Sequence[str],
         region: str,
-        exchanger: _exchange.Exchanger,
+        http_client: _exchange.HttpClient,
         address: str | None = None,
     ) -> None:
         self._apis = list(apis)
         self._address = address
         self._region = region
-        self._exchanger = exchanger
+        self._http_client = http_client
         self._answer: LookupAnswer | None = None
         self._expires = 0.0
         self._lock = asyncio.Lock()
@@ -88,7 +88,7 @@
         for api in list(self._apis):
             asked = time.monotonic()
             try:
-                reply = await self._exchanger.send(
+                reply = await self._http_client.send(
                     api, request, LOOKUP_TIMEOUT_S
                 )
                 self._accept(reply, asked)
@@ -105,4 +105,4 @@
         self._answer = answer
         self._expires = asked + answer.ttl_ms / 1_000
         used = {entry.address for entry in answer.entries}
-        self._exchanger.close_others(used | set(self._apis))
+        self._http_client.close_others(used | set(self._apis))
--- a/fulmarseam/standin/_direct.py
+++ b/fulmarseam/standin/_direct.py
@@ -64,10 +64,10 @@
     """Sends each call to a chosen address, and elsewhere if not run."""
 
     def __init__(
-        self, options: settings.LoadSettings, exchanger: client.Exchanger
+        self, options: settings.LoadSettings, http_client: client.HttpClient
     ) -> None:
         self._addresses = options.direct
-        self._exchanger = exchanger
+        self._http_client = http_client
         self._outstanding = Outstanding()
         rng = random.Random(options.seed or None)
         self._choose = make_choice(options.policy, rng, self._outstanding)
@@ -100,7 +100,7 @@
         }
         self._outstanding.change(address, 1)
         try:
-            reply = await self._exchanger.send(
+            reply = await self._http_client.send(
                 address, request._replace(headers=headers), left_s
             )
         except client.ExchangeError as error:
--- a/fulmarseam/standin/_load.py
+++ b/fulmarseam/standin/_load.py
@@ -228,10 +228,10 @@
 async def run_load(options: settings.LoadSettings) -> list[RouteSummary]:
     """Run a schedule of calls and return the summary of each route."""
     if options.direct:
-        exchanger = client.Exchanger()
-        load = Load(options, _direct.DirectSender(options, exchanger).send)
+        http_client = client.HttpClient()
+        load = Load(options, _direct.DirectSender(options, http_client).send)
         await load.run()
-        exchanger.close()
+        http_client.close()
     else:
         async with contextlib.AsyncExitStack() as stack:
             callers = [
--- a/tests/integration/test_entries.py
+++ b/tests/integration/test_entries.py
@@ -34,8 +34,8 @@
     """Calls to a single entry."""
 
     async def asyncSetUp(self) -> None:
-        self.exchanger = client.Exchanger()
-        self.addCleanup(self.exchanger.close)
+        self.http_client = client.HttpClient()
+        self.addCleanup(self.http_client.close)
 
     async def ask(
         self, cluster: _cluster.Cluster, name: str, route: str = _case.POOL
@@ -44,7 +44,7 @@
         headers = {'Fulmarseam-Deadline-Ms': '300'}
         request = client.Request('GET', f'{route}.example', '/', headers)
         address = cluster.find_entry_address(name)
-        return await self.exchanger.send(address, request, 5.0)
+        return await self.http_client.send(address, request, 5.0)
 
     async def wait_kind(
         self,
@@ -319,7 +319,7 @@
         address = cluster.addresses['e-ost-0'].api
         for body in (b'', b'{', b'[]', b'{"target": 1}', b'\xff\xfe'):
             request = client.Request('POST', 'e', '/v1/announce', {}, body)
-            reply = await self.exchanger.send(address, request, 5.0)
+            reply = await self.http_client.send(address, request, 5.0)
             self.assertEqual(400, reply.status, body)
 
     async def check_rpc(self, cluster: _cluster.Cluster) -> None:
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -39,12 +39,12 @@
         # A path of its own, since requests are told apart by path and body.
         path = f'/{mark}'
         request = client.Request('GET', f'{_case.POOL}.example', path, named)
-        exchanger = client.Exchanger()
+        http_client = client.HttpClient()
         try:
             address = cluster.find_entry_address(entry)
-            return await exchanger.send(address, request, 5.0)
+            return await http_client.send(address, request, 5.0)
         finally:
-            exchanger.close()
+            http_client.close()
 
     def count_runs(self, cluster: _cluster.Cluster, mark: str) -> int:
         return sum(
@@ -261,12 +261,12 @@
         }
         body = json.dumps(report).encode()
         request = client.Request('POST', 'e', '/v1/announce', {}, body)
-        exchanger = client.Exchanger()
+        http_client = client.HttpClient()
         address = cluster.addresses['e-ost-1'].api
         try:
-            return (await exchanger.send(address, request, 5.0)).status
+            return (await http_client.send(address, request, 5.0)).status
         finally:
-            exchanger.close()
+            http_client.close()
 
 
 class CrashRequestTest(TargetCase):
--- a/tests/test_faultproxy.py
+++ b/tests/test_faultproxy.py
@@ -27,8 +27,8 @@
             ],
         )
         await self.enterAsyncContext(_proxy.FaultProxy(self.options))
-        self.exchanger = client.Exchanger()
-        self.addCleanup(self.exchanger.close)
+        self.http_client = client.HttpClient()
+        self.addCleanup(self.http_client.close)
 
     async def echo(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -50,7 +50,7 @@
         request = client.Request(
             'POST', 'proxy', '/', {}, json.dumps(body).encode()
         )
-        return await self.exchanger.send(self.options.control, request, 2.0)
+        return await self.http_client.send(self.options.control, request, 2.0)
 
     async def connect(
         self, link: int = 0
--- a/tests/test_target.py
+++ b/tests/test_target.py
@@ -45,8 +45,8 @@
         self.stop = asyncio.Event()
         target = _target.Target(self.options)
         self.running = asyncio.create_task(target.run(self.stop))
-        self.exchanger = client.Exchanger()
-        self.addCleanup(self.exchanger.close)
+        self.http_client = client.HttpClient()
+        self.addCleanup(self.http_client.close)
         await _waiting.wait_until(lambda: self.announced, 2, 'announced')
 
     async def asyncTearDown(self) -> None:
@@ -67,7 +67,7 @@
         }
         named['Standin-Mark'] = mark
         request = client.Request('GET', 'shop.example', '/', named)
-        return await self.exchanger.send(
+        return await self.http_client.send(
             self.options.listen, request, timeout_s
         )
 
