--- a/fulmarseam/blocks/__init__.py
+++ b/fulmarseam/blocks/__init__.py
@@ -10,6 +10,6 @@
 """
 
 from fulmarseam.blocks._table import BlockTable
-from fulmarseam.blocks._table import check_block
+from fulmarseam.blocks._table import parse_block
 
-__all__ = ['BlockTable', 'check_block']
+__all__ = ['BlockTable', 'parse_block']
--- a/fulmarseam/blocks/_table.py
+++ b/fulmarseam/blocks/_table.py
@@ -108,7 +108,7 @@
 
         Raises `ValueError` when the block is not valid.
         """
-        network = check_block(block)
+        network = parse_block(block)
         column = self._get_column(network.version, network.prefixlen)
         if column.set(_make_key(network), self._get_region_index(region)):
             self._size += 1
@@ -118,7 +118,7 @@
 
         Raises `ValueError` when the block is not valid.
         """
-        network = check_block(block)
+        network = parse_block(block)
         column = self._columns.get((network.version, network.prefixlen))
         if column is None or not column.remove(_make_key(network)):
             return False
@@ -127,7 +127,7 @@
 
     def get(self, block: str) -> ids.RegionName | None:
         """Return the region of exactly this block."""
-        network = check_block(block)
+        network = parse_block(block)
         column = self._columns.get((network.version, network.prefixlen))
         if column is None:
             return None
@@ -172,7 +172,7 @@
         parts: dict[tuple[int, int], list[tuple[int, int]]] = {}
         fresh = BlockTable()
         for block, region in rows:
-            network = check_block(block)
+            network = parse_block(block)
             part = parts.setdefault((network.version, network.prefixlen), [])
             part.append((_make_key(network), fresh._get_region_index(region)))
         for (version, length), part in parts.items():
@@ -249,7 +249,7 @@
         return index
 
 
-def check_block(block: str) -> _Network:
+def parse_block(block: str) -> _Network:
     """Return the network that a CIDR block names.
 
     Raises `ValueError` for host bits that are set and for IPv6 blocks
--- a/fulmarseam/store/_checks.py
+++ b/fulmarseam/store/_checks.py
@@ -90,7 +90,7 @@
 def _check_block(row: wire.Block) -> Iterator[str]:
     yield from _names(row, 'region')
     try:
-        network = blocks.check_block(row.name)
+        network = blocks.parse_block(row.name)
     except ValueError:
         yield describe(
             row, 'name', 'a CIDR block without host bits, IPv6 up to /64'
