--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -56,7 +56,7 @@
         self.connections = http.TargetPools()
         self.pools = _pools.PoolBook(
             self.state,
-            steering.Place(options.region, options.failure_domain),
+            steering.Locality(options.region, options.failure_domain),
             random.Random(),
             self._request_sync,
         )
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -47,7 +47,7 @@
 class PoolState:
     """The queue and the recent figures of one pool."""
 
-    def __init__(self, pool: wire.Pool, place: steering.Place) -> None:
+    def __init__(self, pool: wire.Pool, place: steering.Locality) -> None:
         self.pool = pool
         self.view = steering.PoolView(pool, place)
         self.queue: steering.RequestQueue[Waiter] = steering.RequestQueue(
@@ -72,7 +72,7 @@
         """Return the slots wanted now."""
         return self.in_flight + len(self.queue) + self.apart
 
-    def update(self, pool: wire.Pool, place: steering.Place) -> None:
+    def update(self, pool: wire.Pool, place: steering.Locality) -> None:
         """Take a changed row of the pool."""
         self.pool = pool
         self.view = steering.PoolView(pool, place)
@@ -106,7 +106,7 @@
     def __init__(
         self,
         state: _state.SharedState,
-        place: steering.Place,
+        place: steering.Locality,
         rng: random.Random,
         request_sync: Callable[[], None],
     ) -> None:
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -14,7 +14,7 @@
 from fulmarseam.steering._budget import RetryBudget
 from fulmarseam.steering._choice import Choice
 from fulmarseam.steering._choice import choose_target
-from fulmarseam.steering._choice import Place
+from fulmarseam.steering._choice import Locality
 from fulmarseam.steering._choice import PoolView
 from fulmarseam.steering._links import LinkTokens
 from fulmarseam.steering._lookups import order_entries
@@ -70,7 +70,7 @@
     'LinkTokens',
     'ObservedTarget',
     'OutcomeTable',
-    'Place',
+    'Locality',
     'Placed',
     'PoolView',
     'RepeatBudget',
--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -37,7 +37,7 @@
         ...
 
 
-class Place(NamedTuple):
+class Locality(NamedTuple):
     """Where an entry or a target runs."""
 
     region: ids.RegionName
@@ -79,7 +79,7 @@
         choice = choose_target(view, now, book, rng)
     """
 
-    def __init__(self, pool: wire.Pool, place: Place) -> None:
+    def __init__(self, pool: wire.Pool, place: Locality) -> None:
         self.pool = pool
         self.place = place
         self.use_weight = max(MIN_USE_WEIGHT, 1.0 - pool.latency_weight)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -34,7 +34,7 @@
         self.loads: dict[str, tuple[int, float]] = {}
         self.places = places
         self.view = steering.PoolView(
-            wire.Pool(name='p', **pool), steering.Place('a', 'a1')
+            wire.Pool(name='p', **pool), steering.Locality('a', 'a1')
         )
         grants = [
             wire.SlotGrant(
