--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -79,9 +79,9 @@
         choice = choose_target(view, now, book, rng)
     """
 
-    def __init__(self, pool: wire.Pool, place: Locality) -> None:
+    def __init__(self, pool: wire.Pool, locality: Locality) -> None:
         self.pool = pool
-        self.place = place
+        self.locality = locality
         self.use_weight = max(MIN_USE_WEIGHT, 1.0 - pool.latency_weight)
         self.doubtful: frozenset[ids.TargetId] = frozenset()
         self._domain: list[_Candidate] = []
@@ -138,9 +138,9 @@
             ]
 
     def _group_of(self, candidate: _Candidate) -> list[_Candidate]:
-        if candidate.region != self.place.region:
+        if candidate.region != self.locality.region:
             return self._remote.setdefault(candidate.region, [])
-        if candidate.domain == self.place.domain:
+        if candidate.domain == self.locality.domain:
             return self._domain
         return self._region
 
@@ -196,7 +196,7 @@
         candidate.target,
         candidate.address,
         candidate.region,
-        candidate.region != view.place.region,
+        candidate.region != view.locality.region,
     )
 
 
