--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -197,7 +197,7 @@
         key: str | None,
         avoided: Collection[ids.TargetId],
         time_left_s: float,
-    ) -> steering.Placed:
+    ) -> steering.Placement:
         """Take a place on a target, or none when no target has room."""
         share = self._find_cold_share(pool_name)
         placed = steering.place_request(
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -39,7 +39,7 @@
 from fulmarseam.steering._outcomes import Judgement
 from fulmarseam.steering._outcomes import OutcomeTable
 from fulmarseam.steering._placement import place_request
-from fulmarseam.steering._placement import Placement as Placed
+from fulmarseam.steering._placement import Placement
 from fulmarseam.steering._placement import Room
 from fulmarseam.steering._queue import Admission
 from fulmarseam.steering._queue import RequestQueue
@@ -71,7 +71,7 @@
     'ObservedTarget',
     'OutcomeTable',
     'Locality',
-    'Placed',
+    'Placement',
     'PoolView',
     'RepeatBudget',
     'RequestQueue',
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -22,7 +22,7 @@
     now: float = 0.0,
     priority: int = 2,
     time_left_s: float = 2.0,
-) -> steering.Placed:
+) -> steering.Placement:
     """Place a request for which cold targets are not bounded."""
     return steering.place_request(
         now, targets, lambda item: True, priority, time_left_s
