--- a/fulmarseam/entry/_state.py
+++ b/fulmarseam/entry/_state.py
@@ -29,9 +29,9 @@
         self.tables = store.Tables()
         self.targets = membership.TargetMirror()
         self.entry_rows = membership.EntryMirror()
-        self.book = steering.SlotBook(options.clock_drift)
+        self.book = steering.SlotTracker(options.clock_drift)
         self.links = steering.LinkTokens(drift=options.clock_drift)
-        self.shifts = steering.ShiftBook(options.region)
+        self.shifts = steering.ShiftLimiter(options.region)
         self.routes = steering.compile_routes([])
         self.term = 0
         self.targets_term = 0
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -49,9 +49,9 @@
 from fulmarseam.steering._routes import match_route
 from fulmarseam.steering._routes import RouteIndex
 from fulmarseam.steering._routes import RouteMatch
-from fulmarseam.steering._shifts import ShiftBook
 from fulmarseam.steering._shifts import ShiftCredit
-from fulmarseam.steering._slots import SlotBook
+from fulmarseam.steering._shifts import ShiftLimiter
+from fulmarseam.steering._slots import SlotTracker
 from fulmarseam.steering._split import Splitter
 from fulmarseam.steering._suspects import compute_fingerprint
 from fulmarseam.steering._suspects import Strike
@@ -79,9 +79,9 @@
     'Room',
     'RouteIndex',
     'RouteMatch',
-    'ShiftBook',
+    'ShiftLimiter',
     'ShiftCredit',
-    'SlotBook',
+    'SlotTracker',
     'Splitter',
     'Strike',
     'SuspectState',
--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -47,8 +47,8 @@
 class Choice(NamedTuple):
     """A target for a request.
 
-    The slot is not taken yet; `SlotBook.take` follows. With `is_remote` the
-    request also needs `ShiftBook.take` and tokens of the links.
+    The slot is not taken yet; `SlotTracker.take` follows. With `is_remote` the
+    request also needs `ShiftLimiter.take` and tokens of the links.
     """
 
     target: ids.TargetId
@@ -148,7 +148,7 @@
 def choose_target(
     view: PoolView,
     now: float,
-    book: _slots.SlotBook,
+    book: _slots.SlotTracker,
     rng: Random,
     preferred: ids.RegionName | None = None,
     blocked: Collection[ids.RegionName] = (),
--- a/fulmarseam/steering/_links.py
+++ b/fulmarseam/steering/_links.py
@@ -43,7 +43,7 @@
 
         Return False and change nothing when the answer is not newer than
         the last one applied, or when it is the first of a new term and
-        rates were applied after its request was sent, as in `SlotBook`.
+        rates were applied after its request was sent, as in `SlotTracker`.
         """
         order = response.term, response.grant_sequence
         if order <= self._order:
--- a/fulmarseam/steering/_shifts.py
+++ b/fulmarseam/steering/_shifts.py
@@ -40,7 +40,7 @@
         self.credit = min(MAX_CREDIT, self.credit + 1.0)
 
 
-class ShiftBook:
+class ShiftLimiter:
     """Credits of an entry for the shifts that start in its region.
 
     Example::
--- a/fulmarseam/steering/_slots.py
+++ b/fulmarseam/steering/_slots.py
@@ -17,7 +17,7 @@
     in_flight: int = 0
 
 
-class SlotBook:
+class SlotTracker:
     """Slots that an entry holds on targets and their use.
 
     A grant ends `grant_ttl_ms`, less the clock drift, after the entry sent
--- a/tests/allocator_fixtures.py
+++ b/tests/allocator_fixtures.py
@@ -63,7 +63,7 @@
     def __init__(self, places: dict[str, tuple[str, str]]) -> None:
         self.now = 100.0
         self.places = places
-        self.books = {name: steering.SlotBook() for name in places}
+        self.books = {name: steering.SlotTracker() for name in places}
         self.wanted = dict.fromkeys(places, 0)
         self.draining: set[str] = set()
         self.doubtful: dict[str, list[str]] = {}
--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -50,7 +50,7 @@
         # not heard any more; only the late request of e0 claims them.
         cluster = self.start_with_holder()
         late = cluster.request('e0')
-        cluster.books['e0'] = steering.SlotBook()
+        cluster.books['e0'] = steering.SlotTracker()
         cluster.leader.report(cluster.now, late)
         cluster.now += allocator_fixtures.LIFETIME_S + 0.01
         cluster.books['e0'].apply(
@@ -73,7 +73,7 @@
         cluster.reports = reports
 
     def test_book_refuses_a_new_term_asked_before_a_change(self) -> None:
-        book = steering.SlotBook()
+        book = steering.SlotTracker()
         grant = wire.SlotGrant(
             target='t', slots=3, connections=3, lease_ms=3_000
         )
@@ -227,8 +227,8 @@
 class SlotBookTest(unittest.TestCase):
     """Guards against use of grants after their end."""
 
-    def make_book(self, lease_ms: int) -> steering.SlotBook:
-        book = steering.SlotBook()
+    def make_book(self, lease_ms: int) -> steering.SlotTracker:
+        book = steering.SlotTracker()
         grant = wire.SlotGrant(
             target='t', slots=2, connections=2, lease_ms=lease_ms
         )
--- a/tests/test_allocator_model.py
+++ b/tests/test_allocator_model.py
@@ -46,7 +46,7 @@
     def __init__(self, name: str, incarnation: int) -> None:
         self.name = name
         self.incarnation = incarnation
-        self.book = steering.SlotBook()
+        self.book = steering.SlotTracker()
         self.tokens = steering.LinkTokens(linger_s=4.0)
         self.running: list[tuple[str, float]] = []
         self.wanted = 0
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -30,7 +30,7 @@
         self.now = 10.0
         self.rng = random.Random(5)
         self.outcomes = steering.OutcomeTable()
-        self.book = steering.SlotBook()
+        self.book = steering.SlotTracker()
         self.loads: dict[str, tuple[int, float]] = {}
         self.places = places
         self.view = steering.PoolView(
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -33,7 +33,7 @@
     """Guards against more moved traffic than the cap allows."""
 
     def test_moved_share_meets_the_percent(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(20.0)])
         moved = 0
         for _ in range(1_000):
@@ -43,7 +43,7 @@
         self.assertEqual(200, moved)
 
     def test_spill_over_takes_credit_too(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(20.0)])
         self.assertEqual({'b'}, book.blocked('p'))
         self.assertFalse(book.take('p', 'b'))
@@ -51,14 +51,14 @@
         self.assertEqual(frozenset(), book.blocked('q'))
 
     def test_credit_is_bounded(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
         for _ in range(1_000):
             book.arrive('p')
         self.assertEqual(10, sum(book.take('p', 'b') for _ in range(20)))
 
     def test_refund_gives_one_placement_back(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
         book.arrive('p')
         book.arrive('p')
@@ -68,7 +68,7 @@
         self.assertFalse(book.take('p', 'b'))
 
     def test_change_of_other_rows_keeps_the_credit(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
         book.arrive('p')
         book.update([make_shift(50.0), make_shift(10.0, name='t', pool='q')])
@@ -76,7 +76,7 @@
         self.assertEqual('b', book.preferred('p'))
 
     def test_only_shifts_in_force_from_the_own_region_bind(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         for shift in (
             make_shift(20.0, wire.ShiftState.PLANNED),
             make_shift(20.0, wire.ShiftState.DONE),
@@ -89,7 +89,7 @@
         self.assertEqual({'b'}, book.blocked('p'))
 
     def test_percent_above_the_cap_counts_as_the_cap(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(100.0, cap_percent=10.0)])
         for _ in range(19):
             book.arrive('p')
@@ -102,7 +102,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.books = [steering.ShiftBook('a') for _ in range(3)]
+        self.books = [steering.ShiftLimiter('a') for _ in range(3)]
         self.percents = [0.0, 0.0, 0.0]
         self.allowed = 0.0
         self.moved = 0
@@ -150,7 +150,7 @@
 
     @stateful.rule(entry=strategies.integers(0, 2))
     def restart(self, entry: int) -> None:
-        self.books[entry] = steering.ShiftBook('a')
+        self.books[entry] = steering.ShiftLimiter('a')
         self.books[entry].update([make_shift(self.percents[entry])])
         self.taken[entry] = 0
 
