--- a/fulmarseam/client/_caller.py
+++ b/fulmarseam/client/_caller.py
@@ -157,7 +157,7 @@
             return False
         if errors.ANSWERS[kind].retry is not errors.Retry.OTHER_ENTRY:
             return False
-        return kind not in _OVERLOADED or self._budget.take()
+        return kind not in _OVERLOADED or self._budget.try_acquire()
 
     async def _attempt(
         self, address: str, request: _exchange.Request, left_s: float
--- a/fulmarseam/entry/_pacing.py
+++ b/fulmarseam/entry/_pacing.py
@@ -41,7 +41,7 @@
         if not self._debt:
             return True
         now = self._loop.time()
-        self._debt -= self._links.take(now, self._name, self._debt)
+        self._debt -= self._links.consume(now, self._name, self._debt)
         if not self._debt:
             return True
         self._start_timer(now)
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -254,9 +254,11 @@
             blocked=blocked,
             avoided=avoided,
         )
-        if choice is None or not self._state.book.take(now, choice.target):
+        if choice is None or not self._state.book.try_acquire(
+            now, choice.target
+        ):
             return None
-        if not shifts.take(name, choice.region):
+        if not shifts.try_acquire(name, choice.region):
             self._state.book.release(choice.target)
             return None
         pool.in_flight += 1
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -210,7 +210,10 @@
             avoided |= {placement.choice.target}
             if not left or not failed.may_repeat:
                 raise may_have_run or failed.error
-            if not self._has_other(pool, avoided) or not pool.budget.take():
+            if (
+                not self._has_other(pool, avoided)
+                or not pool.budget.try_acquire()
+            ):
                 raise may_have_run or failed.error
             self._services.metrics.add('retries_total', pool=pool.pool.name)
 
--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -187,7 +187,7 @@
 
     def take_repeat(self, now: float, pool_name: ids.PoolName) -> bool:
         """Count a repeat if the budget of the pool allows it."""
-        return self._get_pool(pool_name).budget.take(now)
+        return self._get_pool(pool_name).budget.try_acquire(now)
 
     def place(
         self,
--- a/fulmarseam/steering/_budget.py
+++ b/fulmarseam/steering/_budget.py
@@ -15,7 +15,7 @@
         """Count a request that is no retry."""
         self._tokens = min(MAX_TOKENS, self._tokens + self.ratio)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take the budget of one retry; False when there is none."""
         if self._tokens < 1.0:
             return False
--- a/fulmarseam/steering/_links.py
+++ b/fulmarseam/steering/_links.py
@@ -75,7 +75,7 @@
         self._fill(now, bucket)
         return bucket.tokens >= 1.0
 
-    def take(self, now: float, name: str, size: int) -> int:
+    def consume(self, now: float, name: str, size: int) -> int:
         """Take up to `size` bytes and return how many may be sent now."""
         bucket = self._buckets.get(name)
         if bucket is None:
--- a/fulmarseam/steering/_repeats.py
+++ b/fulmarseam/steering/_repeats.py
@@ -23,7 +23,7 @@
         self._requests.append(now)
         self._forget(now)
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Count a repeat if it is within the bound."""
         self._forget(now)
         bound = self._ratio * len(self._requests) + self.slack
--- a/fulmarseam/steering/_shifts.py
+++ b/fulmarseam/steering/_shifts.py
@@ -24,11 +24,11 @@
         """Count an arrival while `percent` of them may move."""
         self.credit = min(MAX_CREDIT, self.credit + percent / 100.0)
 
-    def can_take(self) -> bool:
+    def has_credit(self) -> bool:
         """Return whether a request may be placed in the other region."""
         return self.credit >= 1.0
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take the credit for one placement; False when there is none."""
         if self.credit < 1.0:
             return False
@@ -50,7 +50,7 @@
         choice = choose_target(
             view, ..., preferred=book.preferred(pool),
             blocked=book.blocked(pool))
-        book.take(pool, choice.region)
+        book.try_acquire(pool, choice.region)
     """
 
     def __init__(self, region: ids.RegionName) -> None:
@@ -92,20 +92,20 @@
             shifts.items(),
             key=lambda item: self._credits[item[1].name].credit,
         )
-        return region if self._credits[shift.name].can_take() else None
+        return region if self._credits[shift.name].has_credit() else None
 
     def blocked(self, pool: ids.PoolName) -> frozenset[ids.RegionName]:
         """Return the regions where no request of the pool may go now."""
         return frozenset(
             region
             for region, shift in self._shifts.get(pool, {}).items()
-            if not self._credits[shift.name].can_take()
+            if not self._credits[shift.name].has_credit()
         )
 
-    def take(self, pool: ids.PoolName, region: ids.RegionName) -> bool:
+    def try_acquire(self, pool: ids.PoolName, region: ids.RegionName) -> bool:
         """Account for a placement; False when it must not be made."""
         shift = self._shifts.get(pool, {}).get(region)
-        return shift is None or self._credits[shift.name].take()
+        return shift is None or self._credits[shift.name].try_acquire()
 
     def refund(self, pool: ids.PoolName, region: ids.RegionName) -> None:
         """Return the credit of a placement that sent nothing."""
--- a/fulmarseam/steering/_slots.py
+++ b/fulmarseam/steering/_slots.py
@@ -67,7 +67,7 @@
             return 0
         return int((now - self._applied_at) * 1_000)
 
-    def take(self, now: float, target: ids.TargetId) -> bool:
+    def try_acquire(self, now: float, target: ids.TargetId) -> bool:
         """Start a request on the target if a slot is free.
 
         Every True must be followed by one `release`.
@@ -83,7 +83,7 @@
         return True
 
     def release(self, target: ids.TargetId) -> None:
-        """End a request that `take` started."""
+        """End a request that `try_acquire` started."""
         held = self._held[target]
         held.in_flight -= 1
         if not held.in_flight and not held.slots and not held.connections:
--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -241,24 +241,24 @@
 
     def test_grant_ends_after_its_time_from_the_request(self) -> None:
         book = self.make_book(3_000)
-        self.assertTrue(book.take(12.77, 't'))
-        self.assertFalse(book.take(12.78, 't'))
+        self.assertTrue(book.try_acquire(12.77, 't'))
+        self.assertFalse(book.try_acquire(12.78, 't'))
         uses = book.uses(12.78)
         self.assertEqual([(0, 1)], [(u.allowance, u.in_flight) for u in uses])
         self.assertEqual(1, book.connection_share(12.78, 't'))
 
     def test_grant_ends_with_the_lease_of_its_target(self) -> None:
         book = self.make_book(500)
-        self.assertTrue(book.take(10.49, 't'))
-        self.assertFalse(book.take(10.5, 't'))
+        self.assertTrue(book.try_acquire(10.49, 't'))
+        self.assertFalse(book.try_acquire(10.5, 't'))
 
     def test_grant_that_is_withdrawn_keeps_what_is_in_flight(self) -> None:
         book = self.make_book(3_000)
-        self.assertTrue(book.take(11.0, 't'))
+        self.assertTrue(book.try_acquire(11.0, 't'))
         self.assertTrue(
             book.apply(11.1, 11.0, allocator_fixtures.make_response(1, 2, []))
         )
-        self.assertFalse(book.take(11.1, 't'))
+        self.assertFalse(book.try_acquire(11.1, 't'))
         self.assertEqual(1, book.in_flight('t'))
         book.release('t')
         self.assertEqual([], book.uses(11.1))
--- a/tests/test_allocator_model.py
+++ b/tests/test_allocator_model.py
@@ -187,7 +187,7 @@
 
     def start(self, name: str, target: str) -> None:
         entry = self.entries[name]
-        if entry.book.take(entry.clock(self.now), target):
+        if entry.book.try_acquire(entry.clock(self.now), target):
             deadline = entry.clock(self.now) + POOL.max_deadline_ms / 1_000
             entry.running.append((target, deadline / RATES[name]))
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -72,7 +72,7 @@
 
     def fill(self, *targets: str) -> None:
         for target in targets:
-            while self.book.take(self.now, target):
+            while self.book.try_acquire(self.now, target):
                 pass
 
 
@@ -157,7 +157,7 @@
 
     def test_least_used_share_is_chosen(self) -> None:
         chooser = self.make_chooser(2, latency_weight=0.0)
-        chooser.book.take(chooser.now, 't0')
+        chooser.book.try_acquire(chooser.now, 't0')
         self.assertEqual({'t1'}, set(chooser.count()))
 
     def test_fresh_report_counts(self) -> None:
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -459,7 +459,7 @@
         taken = 0
         for number in range(1_000):
             budget.count_request(number / 100)
-            taken += budget.take(number / 100)
+            taken += budget.try_acquire(number / 100)
         self.assertLessEqual(taken, 104)
         self.assertGreater(taken, 90)
 
@@ -467,8 +467,8 @@
         budget = steering.RepeatBudget(0.1, 0.0, 10.0)
         for _ in range(100):
             budget.count_request(0.0)
-        self.assertTrue(budget.take(5.0))
-        self.assertFalse(budget.take(11.0))
+        self.assertTrue(budget.try_acquire(5.0))
+        self.assertFalse(budget.try_acquire(11.0))
 
 
 class SplitTest(unittest.TestCase):
--- a/tests/test_slot_plan.py
+++ b/tests/test_slot_plan.py
@@ -133,7 +133,7 @@
         cluster = allocator_fixtures.build_pair()
         cluster.wanted = {'e0': 2, 'e1': 0}
         cluster.settle()
-        self.assertTrue(cluster.books['e0'].take(cluster.now, 't0'))
+        self.assertTrue(cluster.books['e0'].try_acquire(cluster.now, 't0'))
         cluster.draining.add('e0')
         cluster.wanted['e0'] = 1
         cluster.run(2.0)
@@ -262,7 +262,7 @@
         tokens.apply(
             0.0, 0.0, allocator_fixtures.make_response(1, 1, [], [rate])
         )
-        self.assertEqual(50, tokens.take(2.0, 'a>b', 10_000))
+        self.assertEqual(50, tokens.consume(2.0, 'a>b', 10_000))
 
     def test_link_refuses_a_new_term_asked_before_a_change(self) -> None:
         tokens = steering.LinkTokens()
@@ -285,11 +285,11 @@
         )
         taken = 0
         for step in range(1, 2_001):
-            taken += tokens.take(step / 1_000, 'a>b', 10_000)
+            taken += tokens.consume(step / 1_000, 'a>b', 10_000)
         self.assertLessEqual(taken, 2_000)
         self.assertGreater(taken, 1_900)
         self.assertFalse(tokens.has_tokens(2.78, 'a>b'))
-        self.assertGreater(tokens.take(3.5, 'a>b', 10_000), 0)
-        tokens.take(9.0, 'a>b', 10_000)
-        self.assertEqual(0, tokens.take(10.0, 'a>b', 10_000))
+        self.assertGreater(tokens.consume(3.5, 'a>b', 10_000), 0)
+        tokens.consume(9.0, 'a>b', 10_000)
+        self.assertEqual(0, tokens.consume(10.0, 'a>b', 10_000))
         self.assertIsNone(tokens.wait_s(10.0, 'a>b', 1))
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -39,15 +39,15 @@
         for _ in range(1_000):
             book.arrive('p')
             if book.preferred('p') == 'b':
-                moved += book.take('p', 'b')
+                moved += book.try_acquire('p', 'b')
         self.assertEqual(200, moved)
 
     def test_spill_over_takes_credit_too(self) -> None:
         book = steering.ShiftLimiter('a')
         book.update([make_shift(20.0)])
         self.assertEqual({'b'}, book.blocked('p'))
-        self.assertFalse(book.take('p', 'b'))
-        self.assertTrue(book.take('p', 'c'))
+        self.assertFalse(book.try_acquire('p', 'b'))
+        self.assertTrue(book.try_acquire('p', 'c'))
         self.assertEqual(frozenset(), book.blocked('q'))
 
     def test_credit_is_bounded(self) -> None:
@@ -55,17 +55,19 @@
         book.update([make_shift(50.0)])
         for _ in range(1_000):
             book.arrive('p')
-        self.assertEqual(10, sum(book.take('p', 'b') for _ in range(20)))
+        self.assertEqual(
+            10, sum(book.try_acquire('p', 'b') for _ in range(20))
+        )
 
     def test_refund_gives_one_placement_back(self) -> None:
         book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
         book.arrive('p')
         book.arrive('p')
-        self.assertTrue(book.take('p', 'b'))
+        self.assertTrue(book.try_acquire('p', 'b'))
         book.refund('p', 'b')
-        self.assertTrue(book.take('p', 'b'))
-        self.assertFalse(book.take('p', 'b'))
+        self.assertTrue(book.try_acquire('p', 'b'))
+        self.assertFalse(book.try_acquire('p', 'b'))
 
     def test_change_of_other_rows_keeps_the_credit(self) -> None:
         book = steering.ShiftLimiter('a')
@@ -84,7 +86,7 @@
         ):
             book.update([shift])
             self.assertEqual(frozenset(), book.blocked('p'))
-            self.assertTrue(book.take('p', 'b'))
+            self.assertTrue(book.try_acquire('p', 'b'))
         book.update([make_shift(20.0, wire.ShiftState.HELD)])
         self.assertEqual({'b'}, book.blocked('p'))
 
@@ -93,8 +95,8 @@
         book.update([make_shift(100.0, cap_percent=10.0)])
         for _ in range(19):
             book.arrive('p')
-        self.assertTrue(book.take('p', 'b'))
-        self.assertFalse(book.take('p', 'b'))
+        self.assertTrue(book.try_acquire('p', 'b'))
+        self.assertFalse(book.try_acquire('p', 'b'))
 
 
 class ShiftMachine(stateful.RuleBasedStateMachine):
@@ -137,7 +139,7 @@
             self.place(entry)
 
     def place(self, entry: int) -> None:
-        if self.books[entry].take('p', 'b'):
+        if self.books[entry].try_acquire('p', 'b'):
             self.moved += 1
             self.taken[entry] += 1
 
@@ -243,7 +245,7 @@
         retries = 0
         for _ in range(1_000):
             budget.count_request()
-            retries += budget.take()
+            retries += budget.try_acquire()
         self.assertLessEqual(retries, 101)
         self.assertGreater(retries, 95)
 
@@ -251,7 +253,7 @@
         budget = steering.RetryBudget(0.1)
         for _ in range(10_000):
             budget.count_request()
-        self.assertEqual(10, sum(budget.take() for _ in range(100)))
+        self.assertEqual(10, sum(budget.try_acquire() for _ in range(100)))
 
 
 class SuspectTest(unittest.TestCase):
