--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -65,7 +65,7 @@
     ) -> None:
         self._options = options
         self._mirror = mirror
-        self._cold_bound = steering.ColdBound(
+        self._cold_bound = steering.ColdRateLimit(
             options.cold_factor, options.cold_slack
         )
         self._targets: dict[ids.TargetId, steering.ObservedTarget] = {}
@@ -207,7 +207,7 @@
                 for item in self._rank(now, route, pool_name, key)
                 if item.target not in avoided
             ),
-            lambda item: steering.may_take(item, now, share),
+            lambda item: steering.may_send(item, now, share),
             route.priority,
             time_left_s,
             CHOICES_PER_OBJECT if route.sticky and key is not None else None,
@@ -223,7 +223,9 @@
         pool = self._mirror.pools.get(pool_name)
         if pool is None or pool.cold_per_s <= 0.0:
             return float('inf')
-        return self._cold_bound.share(pool.cold_per_s, self.senders)
+        return self._cold_bound.compute_sender_rate(
+            pool.cold_per_s, self.senders
+        )
 
     def _rank(
         self,
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -18,7 +18,7 @@
 from fulmarseam.steering._choice import PoolView
 from fulmarseam.steering._links import LinkTokens
 from fulmarseam.steering._lookups import order_entries
-from fulmarseam.steering._observed import ColdBound
+from fulmarseam.steering._observed import ColdRateLimit
 from fulmarseam.steering._observed import DOUBTFUL_RATE
 from fulmarseam.steering._observed import eject
 from fulmarseam.steering._observed import estimate_load
@@ -28,7 +28,7 @@
 from fulmarseam.steering._observed import is_doubtful
 from fulmarseam.steering._observed import is_ejected
 from fulmarseam.steering._observed import is_silent
-from fulmarseam.steering._observed import may_take
+from fulmarseam.steering._observed import may_send
 from fulmarseam.steering._observed import note_answer
 from fulmarseam.steering._observed import note_end
 from fulmarseam.steering._observed import note_failure
@@ -64,7 +64,7 @@
     'Allocator',
     'AllocatorOptions',
     'Choice',
-    'ColdBound',
+    'ColdRateLimit',
     'Grants',
     'Judgement',
     'LinkTokens',
@@ -99,7 +99,7 @@
     'is_ejected',
     'is_silent',
     'match_route',
-    'may_take',
+    'may_send',
     'note_answer',
     'note_end',
     'note_failure',
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -194,13 +194,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ColdBound:
+class ColdRateLimit:
     """What all entries together may send to a cold target in a second."""
 
     factor: float
     slack: float
 
-    def share(self, cold_per_s: float, senders: int) -> float:
+    def compute_sender_rate(self, cold_per_s: float, senders: int) -> float:
         """Return the part of one of `senders` entries, in requests/s."""
         return (cold_per_s * self.factor + self.slack) / max(1, senders)
 
@@ -241,7 +241,7 @@
     return target.recovering or now < target.cold_until
 
 
-def may_take(target: ObservedTarget, now: float, share: float) -> bool:
+def may_send(target: ObservedTarget, now: float, share: float) -> bool:
     """Return whether a cold target may get one more request."""
     if not is_cold(target, now):
         return True
--- a/fulmarseam/steering/_placement.py
+++ b/fulmarseam/steering/_placement.py
@@ -34,13 +34,13 @@
     room: Room
 
 
-MayTake = Callable[[_observed.ObservedTarget], bool]
+MaySend = Callable[[_observed.ObservedTarget], bool]
 
 
 def place_request(
     now: float,
     targets: Iterable[_observed.ObservedTarget],
-    may_take: MayTake,
+    may_send: MaySend,
     priority: int,
     time_left_s: float,
     choices: int | None = None,
@@ -61,7 +61,7 @@
     best: _observed.ObservedTarget | None = None
     best_wait = best_cost = 0.0
     for item in targets:
-        if _observed.is_ejected(item, now) or not may_take(item):
+        if _observed.is_ejected(item, now) or not may_send(item):
             continue
         if sound == choices:
             break
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -337,11 +337,11 @@
     """
 
     RATE = 13.0
-    BOUND = steering.ColdBound(1.5, 5.0)
+    BOUND = steering.ColdRateLimit(1.5, 5.0)
 
     def _run(self, senders: int, seed: int) -> int:
         rng = random.Random(seed)
-        share = self.BOUND.share(self.RATE, senders)
+        share = self.BOUND.compute_sender_rate(self.RATE, senders)
         entries = [
             make_target('a', phase=rng.random(), tokens=1.0)
             for _ in range(senders)
@@ -353,7 +353,7 @@
         while now < 6.0:
             now += rng.expovariate(400.0)
             entry = rng.choice(entries)
-            if steering.may_take(entry, now, share):
+            if steering.may_send(entry, now, share):
                 entry.tokens -= 1.0
                 sent.append(now)
         return max(
