--- a/fulmarseam/control/_leadership.py
+++ b/fulmarseam/control/_leadership.py
@@ -147,7 +147,7 @@
 
     def has_grant_news(self, now: float, info: wire.EntryInfo) -> bool:
         """Return whether an entry should get its grants at once."""
-        return self.is_registered(info) and self.allocator.has_news(
+        return self.is_registered(info) and self.allocator.has_grant_changes(
             now, info.entry, info.incarnation
         )
 
--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -176,7 +176,7 @@
         ]
         return Grants(self._sequence, slots, rates)
 
-    def has_news(
+    def has_grant_changes(
         self, now: float, entry: ids.EntryId, incarnation: int
     ) -> bool:
         """Return whether a held sync request should be answered at once.
--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -174,10 +174,12 @@
         cluster.sync('e1')
         cluster.plan()
         self.assertEqual(0, cluster.total('e1'))
-        self.assertFalse(cluster.leader.has_news(cluster.now, 'e1', 1))
+        self.assertFalse(
+            cluster.leader.has_grant_changes(cluster.now, 'e1', 1)
+        )
         cluster.sync('e0')
         cluster.sync('e0')
-        self.assertTrue(cluster.leader.has_news(cluster.now, 'e1', 1))
+        self.assertTrue(cluster.leader.has_grant_changes(cluster.now, 'e1', 1))
 
     def test_no_entry_has_news_right_after_its_answer(self) -> None:
         cluster = allocator_fixtures.build_pair()
@@ -190,7 +192,7 @@
             for name in ('e0', 'e1', 'e0', 'e1'):
                 cluster.now += 0.05
                 cluster.sync(name)
-                news = cluster.leader.has_news(cluster.now, name, 1)
+                news = cluster.leader.has_grant_changes(cluster.now, name, 1)
                 self.assertFalse(news, (wanted, name))
 
 
--- a/tests/test_slot_plan.py
+++ b/tests/test_slot_plan.py
@@ -153,7 +153,7 @@
             )
         ]
         cluster.plan()
-        self.assertTrue(cluster.leader.has_news(cluster.now, 'e0', 1))
+        self.assertTrue(cluster.leader.has_grant_changes(cluster.now, 'e0', 1))
         cluster.sync('e0')
         self.assertEqual({}, cluster.held('e0'))
         cluster.drains = []
@@ -210,17 +210,23 @@
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
         cluster.settle()
-        self.assertFalse(cluster.leader.has_news(cluster.now, 'e0', 1))
+        self.assertFalse(
+            cluster.leader.has_grant_changes(cluster.now, 'e0', 1)
+        )
         cluster.wanted['e0'] = 0
         cluster.run(0.8)
         holder = 'e0' if cluster.total('e0') else 'e1'
         other = 'e1' if holder == 'e0' else 'e0'
         cluster.wanted[other] = 3
         cluster.sync(other)
-        self.assertTrue(cluster.leader.has_news(cluster.now, holder, 1))
+        self.assertTrue(
+            cluster.leader.has_grant_changes(cluster.now, holder, 1)
+        )
         cluster.sync(holder)
         cluster.sync(holder)
-        self.assertTrue(cluster.leader.has_news(cluster.now, other, 1))
+        self.assertTrue(
+            cluster.leader.has_grant_changes(cluster.now, other, 1)
+        )
         cluster.sync(other)
         self.assertEqual(3, cluster.total(other))
 
