--- a/fulmarseam/control/_leadership.py
+++ b/fulmarseam/control/_leadership.py
@@ -138,7 +138,7 @@
         """Return the grants of an entry; none before it is registered."""
         if not self.is_registered(info):
             return steering.Grants(0, [], [])
-        return self.allocator.grants_for(now, info.entry, info.incarnation)
+        return self.allocator.issue_grants(now, info.entry, info.incarnation)
 
     def is_registered(self, info: wire.EntryInfo) -> bool:
         """Return whether the log names an incarnation of an entry."""
--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -45,13 +45,13 @@
 
     A new allocator is made at the start of each term as leader, when the
     leader lease of every former leader has ended. The caller must hold a
-    valid leader lease when it calls `grants_for`, and reports each request
+    valid leader lease when it calls `issue_grants`, and reports each request
     before it answers it::
 
         allocator = steering.Allocator(now, term)
         allocator.report(now, request)
         allocator.allocate(now, targets, pools, links, drains, shifts)
-        grants = allocator.grants_for(now, entry, incarnation)
+        grants = allocator.issue_grants(now, entry, incarnation)
 
     `former` names the incarnations of entries that may hold grants of a
     former leader. Until all of them have acknowledged grants of this term
@@ -143,7 +143,7 @@
         _demand.plan_links(live, self._links)
         self._contested = self._find_contested(live)
 
-    def grants_for(
+    def issue_grants(
         self, now: float, entry: ids.EntryId, incarnation: int
     ) -> Grants:
         """Issue the grants for an answer that is sent now.
--- a/tests/allocator_fixtures.py
+++ b/tests/allocator_fixtures.py
@@ -131,7 +131,7 @@
         """Report, plan and issue; the answer is not applied."""
         self.leader.report(self.now, self.request(name))
         self.plan()
-        grants = self.leader.grants_for(self.now, name, 1)
+        grants = self.leader.issue_grants(self.now, name, 1)
         return make_response(
             self.term, grants.sequence, grants.slots, grants.links
         )
--- a/tests/test_allocator_model.py
+++ b/tests/test_allocator_model.py
@@ -150,7 +150,7 @@
         self.registered.add((name, incarnation))
         self.allocator.report(self.now, request)
         self.allocator.allocate(self.now, self.table.all(), [POOL], LINKS, [])
-        grants = self.allocator.grants_for(self.now, name, incarnation)
+        grants = self.allocator.issue_grants(self.now, name, incarnation)
         response = wire.SyncResponse(
             term=self.term,
             leadership_age_ms=0,
