--- a/fulmarseam/control/_leadership.py
+++ b/fulmarseam/control/_leadership.py
@@ -85,7 +85,7 @@
         if not self.entries.record(now, request):
             return False
         ages = request.announcement_ages_ms
-        travel_s = self.allocator.find_request_age(now, request)
+        travel_s = self.allocator.compute_max_request_age(now, request)
         for index, report in enumerate(request.announcements):
             age_ms = ages[index] if index < len(ages) else 0
             if self.targets.record(now - travel_s, report, age_ms):
--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -204,7 +204,9 @@
             if planned > _slots_in(issued, target)
         )
 
-    def find_request_age(self, now: float, request: wire.SyncRequest) -> float:
+    def compute_max_request_age(
+        self, now: float, request: wire.SyncRequest
+    ) -> float:
         """Return the most seconds that a request can have been under way.
 
         Leases of the targets that it announces start that much earlier: a
--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -205,7 +205,7 @@
 
     def find_age(self, seconds: float, request: wire.SyncRequest) -> float:
         now = self.cluster.now + seconds
-        return self.cluster.leader.find_request_age(now, request)
+        return self.cluster.leader.compute_max_request_age(now, request)
 
     def test_delay_on_the_way_counts(self) -> None:
         self.cluster.now += 0.4
