--- a/fulmarseam/control/_registrations.py
+++ b/fulmarseam/control/_registrations.py
@@ -23,7 +23,7 @@
         wanted = {
             incarnation
             for incarnation in known
-            if leadership.allocator.may_hold(now, entry, incarnation)
+            if leadership.allocator.may_hold_grants(now, entry, incarnation)
         }
         report = leadership.reports.get(entry)
         if report is not None:
--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -214,7 +214,7 @@
         """
         return self._send_times.find_age(now, request)
 
-    def may_hold(
+    def may_hold_grants(
         self, now: float, entry: ids.EntryId, incarnation: int
     ) -> bool:
         """Return whether an incarnation may hold grants or run requests."""
--- a/tests/test_allocator_model.py
+++ b/tests/test_allocator_model.py
@@ -109,7 +109,7 @@
         """Forget the restarted entries that can hold nothing any more."""
         for name, incarnation in list(self.registered):
             if incarnation < self.entries[name].incarnation and (
-                not self.allocator.may_hold(self.now, name, incarnation)
+                not self.allocator.may_hold_grants(self.now, name, incarnation)
             ):
                 self.registered.discard((name, incarnation))
 
