--- a/fulmarseam/control/_leadership.py
+++ b/fulmarseam/control/_leadership.py
@@ -68,7 +68,7 @@
                 grant_ttl_s=options.grant_ttl_ms / MILLISECONDS,
                 drift=options.clock_drift,
             ),
-            former=list_registered(tables),
+            former_holders=list_registered(tables),
         )
         self.reports: dict[ids.EntryId, EntryReport] = {}
         self.places: dict[ids.TargetId, Place] = {}
--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -53,12 +53,12 @@
         allocator.allocate(now, targets, pools, links, drains, shifts)
         grants = allocator.issue_grants(now, entry, incarnation)
 
-    `former` names the incarnations of entries that may hold grants of a
+    `former_holders` names the incarnations of entries that may hold grants of a
     former leader. Until all of them have acknowledged grants of this term
     or the grants of the former leader have expired, entries only get
     renewed what they report to hold. After that, what no entry has
     confirmed to hold is kept back until the requests of entries that were
-    never heard must have ended. Without `former` any number of unknown
+    never heard must have ended. Without `former_holders` any number of unknown
     entries is assumed.
     """
 
@@ -67,7 +67,7 @@
         now: float,
         term: int,
         options: AllocatorOptions | None = None,
-        former: Collection[_ledger.HolderKey] | None = None,
+        former_holders: Collection[_ledger.HolderKey] | None = None,
     ) -> None:
         self.term = term
         self._options = options or AllocatorOptions()
@@ -76,7 +76,7 @@
             term, self._options.grant_ttl_s, self._options.drift
         )
         self._limits = _limits.Limits(
-            self._ledger, now + self._ledger.lifetime_s, former
+            self._ledger, now + self._ledger.lifetime_s, former_holders
         )
         self._send_times = _send_times.SendTimes(term, self._options.drift)
         self._targets: dict[ids.TargetId, membership.Target] = {}
--- a/tests/test_allocator_model.py
+++ b/tests/test_allocator_model.py
@@ -101,7 +101,7 @@
     def change_leader(self) -> None:
         self.term += 1
         self.allocator = steering.Allocator(
-            self.now, self.term, former=set(self.registered)
+            self.now, self.term, former_holders=set(self.registered)
         )
         self.table = membership.TargetTable()
 
