--- a/fulmarseam/gateway/_forwarding.py
+++ b/fulmarseam/gateway/_forwarding.py
@@ -223,7 +223,9 @@
         tried = len(job.attempted | {target.target})
         if not job.route.idempotent or tried >= job.route.max_attempts:
             return job.deadline
-        return now + steering.find_patience(target, job.deadline - now)
+        return now + steering.compute_attempt_timeout(
+            target, job.deadline - now
+        )
 
     def _note_answer(
         self,
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -19,11 +19,11 @@
 from fulmarseam.steering._links import LinkTokens
 from fulmarseam.steering._lookups import order_entries
 from fulmarseam.steering._observed import ColdRateLimit
+from fulmarseam.steering._observed import compute_attempt_timeout
 from fulmarseam.steering._observed import DOUBTFUL_RATE
 from fulmarseam.steering._observed import eject
 from fulmarseam.steering._observed import estimate_load
 from fulmarseam.steering._observed import find_failure_rate
-from fulmarseam.steering._observed import find_patience
 from fulmarseam.steering._observed import is_cold
 from fulmarseam.steering._observed import is_doubtful
 from fulmarseam.steering._observed import is_ejected
@@ -93,7 +93,7 @@
     'eject',
     'estimate_load',
     'find_failure_rate',
-    'find_patience',
+    'compute_attempt_timeout',
     'is_cold',
     'is_doubtful',
     'is_ejected',
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -113,7 +113,9 @@
     return now - target.silent_since > limit_s
 
 
-def find_patience(target: ObservedTarget, time_left_s: float) -> float:
+def compute_attempt_timeout(
+    target: ObservedTarget, time_left_s: float
+) -> float:
     """Return how long to wait for an answer that another target may give.
 
     The time left is waited for in full where it would not be enough for
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -125,19 +125,21 @@
         target = make_target('a')
         for _ in range(9):
             steering.note_answer(target, 0.0, 0.1, 0.0)
-        self.assertEqual(steering.find_patience(target, 8.0), 8.0)
+        self.assertEqual(steering.compute_attempt_timeout(target, 8.0), 8.0)
 
     def test_an_unprepared_run_is_within_the_patience(self) -> None:
         target = make_target('a')
         for _ in range(100):
             steering.note_answer(target, 0.0, 0.42, 0.0)
-        self.assertGreater(steering.find_patience(target, 8.0), 1.4 * 1.5)
+        self.assertGreater(
+            steering.compute_attempt_timeout(target, 8.0), 1.4 * 1.5
+        )
 
     def test_no_second_attempt_that_cannot_end_in_time(self) -> None:
         target = make_target('a')
         for _ in range(100):
             steering.note_answer(target, 0.0, 0.42, 0.0)
-        self.assertEqual(steering.find_patience(target, 1.5), 1.5)
+        self.assertEqual(steering.compute_attempt_timeout(target, 1.5), 1.5)
 
 
 class PriorityOverloadTest(unittest.TestCase):
