--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -49,7 +49,9 @@
         """Return the mean failure rate of the targets."""
         if now - self._rated_at >= RATE_INTERVAL_S:
             self._rated_at = now
-            self._failure_rate = steering.find_failure_rate(self.targets)
+            self._failure_rate = steering.compute_mean_failure_rate(
+                self.targets
+            )
         return self._failure_rate
 
 
@@ -310,7 +312,7 @@
     def fails_evenly(self, now: float, pool_name: ids.PoolName) -> bool:
         """Return whether a whole pool refuses or fails many requests."""
         rate = self._get_pool(pool_name).find_failure_rate(now)
-        return rate >= steering.DOUBTFUL_RATE
+        return rate >= steering.DOUBTFUL_FAILURE_RATE
 
     def _is_cut_off(self, now: float, pool_name: ids.PoolName) -> bool:
         """Return whether most targets of a pool cannot be reached."""
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -20,10 +20,10 @@
 from fulmarseam.steering._lookups import order_entries
 from fulmarseam.steering._observed import ColdRateLimit
 from fulmarseam.steering._observed import compute_attempt_timeout
-from fulmarseam.steering._observed import DOUBTFUL_RATE
+from fulmarseam.steering._observed import compute_mean_failure_rate
+from fulmarseam.steering._observed import DOUBTFUL_FAILURE_RATE
 from fulmarseam.steering._observed import eject
 from fulmarseam.steering._observed import estimate_load
-from fulmarseam.steering._observed import find_failure_rate
 from fulmarseam.steering._observed import is_cold
 from fulmarseam.steering._observed import is_doubtful
 from fulmarseam.steering._observed import is_ejected
@@ -59,7 +59,7 @@
 from fulmarseam.steering._suspects import SuspectTable
 
 __all__ = [
-    'DOUBTFUL_RATE',
+    'DOUBTFUL_FAILURE_RATE',
     'Admission',
     'Allocator',
     'AllocatorOptions',
@@ -92,7 +92,7 @@
     'compute_fingerprint',
     'eject',
     'estimate_load',
-    'find_failure_rate',
+    'compute_mean_failure_rate',
     'compute_attempt_timeout',
     'is_cold',
     'is_doubtful',
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -22,7 +22,7 @@
 # Above this failure rate a target is used only when no better one is free,
 # unless the others of its pool fail nearly as much: then another one is no
 # better, and only this one may remember the object of a request.
-DOUBTFUL_RATE = 0.25
+DOUBTFUL_FAILURE_RATE = 0.25
 DOUBTFUL_FACTOR = 1.5
 # A target with requests is silent after this many of its mean service times
 # without any answer, and not before the shortest time.
@@ -184,11 +184,11 @@
 
     `pool_rate` is the mean failure rate of its pool.
     """
-    bound = max(DOUBTFUL_RATE, DOUBTFUL_FACTOR * pool_rate)
+    bound = max(DOUBTFUL_FAILURE_RATE, DOUBTFUL_FACTOR * pool_rate)
     return target.failure_rate >= bound
 
 
-def find_failure_rate(targets: Collection[ObservedTarget]) -> float:
+def compute_mean_failure_rate(targets: Collection[ObservedTarget]) -> float:
     """Return the mean failure rate of the targets of a pool."""
     if not targets:
         return 0.0
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -98,7 +98,7 @@
                 priority=2,
                 time_left_s=2.0,
                 choices=2,
-                pool_failure_rate=steering.find_failure_rate(targets),
+                pool_failure_rate=steering.compute_mean_failure_rate(targets),
             )
             if placed.target is not None:
                 placed.target.in_flight += 1
