--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -93,7 +93,7 @@
         for observed in self._targets.values():
             if observed.record.failure_domain in ended:
                 # The targets may have lost their caches meanwhile.
-                steering.start_cold(observed, now, self._cold_s(observed))
+                steering.mark_cold(observed, now, self._cold_s(observed))
         self._group_targets()
 
     def _update_target(
@@ -117,7 +117,7 @@
             self._targets[target] = observed
         observed.record = record
         if record.cold_ms > 0.0:
-            steering.start_cold(observed, now, record.cold_ms / 1_000)
+            steering.mark_cold(observed, now, record.cold_ms / 1_000)
 
     def _find_phase(self, target: ids.TargetId) -> float:
         name = f'{self._options.host} {target}'.encode()
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -28,6 +28,7 @@
 from fulmarseam.steering._observed import is_doubtful
 from fulmarseam.steering._observed import is_ejected
 from fulmarseam.steering._observed import is_silent
+from fulmarseam.steering._observed import mark_cold
 from fulmarseam.steering._observed import may_send
 from fulmarseam.steering._observed import note_answer
 from fulmarseam.steering._observed import note_end
@@ -35,7 +36,6 @@
 from fulmarseam.steering._observed import note_report
 from fulmarseam.steering._observed import note_start
 from fulmarseam.steering._observed import ObservedTarget
-from fulmarseam.steering._observed import start_cold
 from fulmarseam.steering._outcomes import Judgement
 from fulmarseam.steering._outcomes import OutcomeTable
 from fulmarseam.steering._placement import place_request
@@ -109,5 +109,5 @@
     'place_request',
     'rank_targets',
     'share_regions',
-    'start_cold',
+    'mark_cold',
 ]
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -146,7 +146,7 @@
     restarted, so it is treated as cold for `cold_s`.
     """
     if target.recovering:
-        start_cold(target, now, cold_s)
+        mark_cold(target, now, cold_s)
         target.recovering = False
     target.answers += 1
     target.silent_since = now
@@ -223,7 +223,7 @@
     target.tokens_at = now
 
 
-def start_cold(target: ObservedTarget, now: float, cold_s: float) -> None:
+def mark_cold(target: ObservedTarget, now: float, cold_s: float) -> None:
     """Treat a target as cold for some time from now on."""
     if not is_cold(target, now):
         _reset_tokens(target, now)
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -349,7 +349,7 @@
             for _ in range(senders)
         ]
         for entry in entries:
-            steering.start_cold(entry, 1.0, 60.0)
+            steering.mark_cold(entry, 1.0, 60.0)
         sent: list[float] = []
         now = 1.0
         while now < 6.0:
