--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -265,7 +265,7 @@
             region = item.record.region
             slots[region] = slots.get(region, 0) + item.record.slots
         options = self._options
-        shares = steering.share_regions(
+        shares = steering.compute_region_shares(
             options.region, slots, len(set(options.domains.values()))
         )
         return {
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -6,8 +6,8 @@
 entry owns the other tables.
 """
 
+from fulmarseam.steering._affinity import compute_region_shares
 from fulmarseam.steering._affinity import rank_targets
-from fulmarseam.steering._affinity import share_regions
 from fulmarseam.steering._allocator import Allocator
 from fulmarseam.steering._allocator import AllocatorOptions
 from fulmarseam.steering._allocator import Grants
@@ -108,6 +108,6 @@
     'order_entries',
     'place_request',
     'rank_targets',
-    'share_regions',
+    'compute_region_shares',
     'mark_cold',
 ]
--- a/fulmarseam/steering/_affinity.py
+++ b/fulmarseam/steering/_affinity.py
@@ -41,7 +41,7 @@
     return -math.log(part) / weight
 
 
-def share_regions(
+def compute_region_shares(
     own: ids.RegionName,
     slots: Mapping[ids.RegionName, int],
     callers: int,
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -423,7 +423,7 @@
         }
         used = dict.fromkeys(regions, 0.0)
         for own in regions:
-            shares = steering.share_regions(own, regions, len(regions))
+            shares = steering.compute_region_shares(own, regions, len(regions))
             self.assertAlmostEqual(sum(shares.values()), 1.0)
             for region, share in shares.items():
                 used[region] += share / len(regions)
@@ -441,12 +441,14 @@
         slots = {fixtures.region('ost'): 12, fixtures.region('west'): 36}
         own = fixtures.region('west')
         self.assertGreaterEqual(
-            steering.share_regions(own, slots, 2)[own], 0.8
+            steering.compute_region_shares(own, slots, 2)[own], 0.8
         )
 
     def test_a_region_without_targets_uses_the_others(self) -> None:
         slots = {fixtures.region('west'): 36, fixtures.region('sued'): 12}
-        shares = steering.share_regions(fixtures.region('ost'), slots, 3)
+        shares = steering.compute_region_shares(
+            fixtures.region('ost'), slots, 3
+        )
         self.assertAlmostEqual(sum(shares.values()), 1.0)
 
 
