--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -39,7 +39,7 @@
 class _Pool:
     """The targets of one pool that may get new requests."""
 
-    def __init__(self, budget: steering.RepeatBudget) -> None:
+    def __init__(self, budget: steering.WindowedRetryBudget) -> None:
         self.budget = budget
         self.targets: list[steering.ObservedTarget] = []
         self._failure_rate = 0.0
@@ -143,7 +143,7 @@
         if pool is None:
             options = self._options
             pool = self._pools[name] = _Pool(
-                steering.RepeatBudget(
+                steering.WindowedRetryBudget(
                     options.retry_ratio * REPEAT_SHARE_USED,
                     self._find_slack(),
                     options.retry_window,
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -11,7 +11,6 @@
 from fulmarseam.steering._allocator import Allocator
 from fulmarseam.steering._allocator import AllocatorOptions
 from fulmarseam.steering._allocator import Grants
-from fulmarseam.steering._budget import RetryBudget
 from fulmarseam.steering._choice import Choice
 from fulmarseam.steering._choice import choose_target
 from fulmarseam.steering._choice import Locality
@@ -44,7 +43,7 @@
 from fulmarseam.steering._queue import Admission
 from fulmarseam.steering._queue import RequestQueue
 from fulmarseam.steering._queue import Ticket
-from fulmarseam.steering._repeats import RepeatBudget
+from fulmarseam.steering._retry_budget import RetryBudget
 from fulmarseam.steering._routes import compile_routes
 from fulmarseam.steering._routes import match_route
 from fulmarseam.steering._routes import RouteIndex
@@ -57,6 +56,7 @@
 from fulmarseam.steering._suspects import Strike
 from fulmarseam.steering._suspects import SuspectState
 from fulmarseam.steering._suspects import SuspectTable
+from fulmarseam.steering._windowed_retry_budget import WindowedRetryBudget
 
 __all__ = [
     'DOUBTFUL_FAILURE_RATE',
@@ -73,7 +73,7 @@
     'Locality',
     'Placement',
     'PoolView',
-    'RepeatBudget',
+    'WindowedRetryBudget',
     'RequestQueue',
     'RetryBudget',
     'Room',
--- a/fulmarseam/steering/_repeats.py
+++ b/fulmarseam/steering/_windowed_retry_budget.py
@@ -3,7 +3,7 @@
 import collections
 
 
-class RepeatBudget:
+class WindowedRetryBudget:
     """Repeats of one entry for one pool; times in seconds.
 
     In any window the repeats stay within `ratio` x the requests of that
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -452,14 +452,14 @@
         self.assertAlmostEqual(sum(shares.values()), 1.0)
 
 
-class RepeatBudgetTest(unittest.TestCase):
+class WindowedRetryBudgetTest(unittest.TestCase):
     """Pattern: a target sheds most requests and each could be repeated.
 
     Guards against repeats that make an overload worse.
     """
 
     def test_repeats_stay_within_ratio_and_slack(self) -> None:
-        budget = steering.RepeatBudget(0.1, 4.0, 10.0)
+        budget = steering.WindowedRetryBudget(0.1, 4.0, 10.0)
         taken = 0
         for number in range(1_000):
             budget.count_request(number / 100)
@@ -468,7 +468,7 @@
         self.assertGreater(taken, 90)
 
     def test_old_requests_allow_no_repeats(self) -> None:
-        budget = steering.RepeatBudget(0.1, 0.0, 10.0)
+        budget = steering.WindowedRetryBudget(0.1, 0.0, 10.0)
         for _ in range(100):
             budget.count_request(0.0)
         self.assertTrue(budget.try_acquire(5.0))
