--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -169,7 +169,7 @@
                 self._serve_queue(now, pool)
 
     def _serve_queue(self, now: float, pool: PoolState) -> None:
-        for ticket in pool.queue.refuse_late(now, pool.service_s):
+        for ticket in pool.queue.remove_late(now, pool.service_s):
             ticket.item.refusal = errors.ErrorKind.NO_CAPACITY
             ticket.item.notify()
         while (first := pool.queue.peek()) is not None:
--- a/fulmarseam/steering/_queue.py
+++ b/fulmarseam/steering/_queue.py
@@ -96,7 +96,7 @@
         self._compact()
         return True
 
-    def refuse_late(self, now: float, service_s: float) -> list[Ticket[T]]:
+    def remove_late(self, now: float, service_s: float) -> list[Ticket[T]]:
         """Remove and return the requests that cannot finish in time."""
         late = [
             entry[3]
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -221,7 +221,7 @@
     def test_waiting_requests_become_late(self) -> None:
         self.push('a', 0, 1.0)
         self.push('b', 1, 5.0)
-        late = self.queue.refuse_late(0.95, 0.1)
+        late = self.queue.remove_late(0.95, 0.1)
         self.assertEqual(['a'], [ticket.item for ticket in late])
         next_ticket = self.queue.peek()
         assert next_ticket is not None
