--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -242,7 +242,7 @@
         """Take a slot that is free now, if there is one."""
         shifts = self._state.shifts
         name = pool.pool.name
-        blocked = shifts.blocked(name)
+        blocked = shifts.list_blocked_regions(name)
         if pool.regions:
             blocked = blocked | self._find_full_links(now, pool)
         choice = steering.choose_target(
@@ -250,7 +250,7 @@
             now,
             self._state.book,
             self._rng,
-            preferred=shifts.preferred(name),
+            preferred=shifts.get_preferred_region(name),
             blocked=blocked,
             avoided=avoided,
         )
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -110,7 +110,7 @@
         job.deadline = now + self._find_time_ms(job, pool.pool) / 1_000
         pool.arrivals += 1
         pool.budget.count_request()
-        self._state.shifts.arrive(job.route.pool)
+        self._state.shifts.count_arrival(job.route.pool)
         return job
 
     def _match(self, job: _requests.Job) -> wire.Route:
--- a/fulmarseam/steering/_shifts.py
+++ b/fulmarseam/steering/_shifts.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.credit = 0.0
 
-    def arrive(self, percent: float) -> None:
+    def count_arrival(self, percent: float) -> None:
         """Count an arrival while `percent` of them may move."""
         self.credit = min(MAX_CREDIT, self.credit + percent / 100.0)
 
@@ -46,10 +46,10 @@
     Example::
 
         book.update(shifts)
-        book.arrive(pool)
+        book.count_arrival(pool)
         choice = choose_target(
-            view, ..., preferred=book.preferred(pool),
-            blocked=book.blocked(pool))
+            view, ..., preferred=book.get_preferred_region(pool),
+            blocked=book.list_blocked_regions(pool))
         book.try_acquire(pool, choice.region)
     """
 
@@ -77,13 +77,15 @@
             name: self._credits.get(name, ShiftCredit()) for name in names
         }
 
-    def arrive(self, pool: ids.PoolName) -> None:
+    def count_arrival(self, pool: ids.PoolName) -> None:
         """Count the arrival of a request for the pool."""
         for shift in self._shifts.get(pool, {}).values():
             percent = min(shift.percent, shift.cap_percent)
-            self._credits[shift.name].arrive(percent)
+            self._credits[shift.name].count_arrival(percent)
 
-    def preferred(self, pool: ids.PoolName) -> ids.RegionName | None:
+    def get_preferred_region(
+        self, pool: ids.PoolName
+    ) -> ids.RegionName | None:
         """Return the region to which the next request should move."""
         shifts = self._shifts.get(pool)
         if not shifts:
@@ -94,7 +96,9 @@
         )
         return region if self._credits[shift.name].has_credit() else None
 
-    def blocked(self, pool: ids.PoolName) -> frozenset[ids.RegionName]:
+    def list_blocked_regions(
+        self, pool: ids.PoolName
+    ) -> frozenset[ids.RegionName]:
         """Return the regions where no request of the pool may go now."""
         return frozenset(
             region
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -37,24 +37,24 @@
         book.update([make_shift(20.0)])
         moved = 0
         for _ in range(1_000):
-            book.arrive('p')
-            if book.preferred('p') == 'b':
+            book.count_arrival('p')
+            if book.get_preferred_region('p') == 'b':
                 moved += book.try_acquire('p', 'b')
         self.assertEqual(200, moved)
 
     def test_spill_over_takes_credit_too(self) -> None:
         book = steering.ShiftLimiter('a')
         book.update([make_shift(20.0)])
-        self.assertEqual({'b'}, book.blocked('p'))
+        self.assertEqual({'b'}, book.list_blocked_regions('p'))
         self.assertFalse(book.try_acquire('p', 'b'))
         self.assertTrue(book.try_acquire('p', 'c'))
-        self.assertEqual(frozenset(), book.blocked('q'))
+        self.assertEqual(frozenset(), book.list_blocked_regions('q'))
 
     def test_credit_is_bounded(self) -> None:
         book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
         for _ in range(1_000):
-            book.arrive('p')
+            book.count_arrival('p')
         self.assertEqual(
             10, sum(book.try_acquire('p', 'b') for _ in range(20))
         )
@@ -62,8 +62,8 @@
     def test_refund_gives_one_placement_back(self) -> None:
         book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
-        book.arrive('p')
-        book.arrive('p')
+        book.count_arrival('p')
+        book.count_arrival('p')
         self.assertTrue(book.try_acquire('p', 'b'))
         book.refund('p', 'b')
         self.assertTrue(book.try_acquire('p', 'b'))
@@ -72,10 +72,10 @@
     def test_change_of_other_rows_keeps_the_credit(self) -> None:
         book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
-        book.arrive('p')
+        book.count_arrival('p')
         book.update([make_shift(50.0), make_shift(10.0, name='t', pool='q')])
-        book.arrive('p')
-        self.assertEqual('b', book.preferred('p'))
+        book.count_arrival('p')
+        self.assertEqual('b', book.get_preferred_region('p'))
 
     def test_only_shifts_in_force_from_the_own_region_bind(self) -> None:
         book = steering.ShiftLimiter('a')
@@ -85,16 +85,16 @@
             make_shift(20.0, from_region='c'),
         ):
             book.update([shift])
-            self.assertEqual(frozenset(), book.blocked('p'))
+            self.assertEqual(frozenset(), book.list_blocked_regions('p'))
             self.assertTrue(book.try_acquire('p', 'b'))
         book.update([make_shift(20.0, wire.ShiftState.HELD)])
-        self.assertEqual({'b'}, book.blocked('p'))
+        self.assertEqual({'b'}, book.list_blocked_regions('p'))
 
     def test_percent_above_the_cap_counts_as_the_cap(self) -> None:
         book = steering.ShiftLimiter('a')
         book.update([make_shift(100.0, cap_percent=10.0)])
         for _ in range(19):
-            book.arrive('p')
+            book.count_arrival('p')
         self.assertTrue(book.try_acquire('p', 'b'))
         self.assertFalse(book.try_acquire('p', 'b'))
 
@@ -128,9 +128,9 @@
     )
     def arrive(self, entry: int, count: int) -> None:
         for _ in range(count):
-            self.books[entry].arrive('p')
+            self.books[entry].count_arrival('p')
             self.allowed += self.percents[entry] / 100.0
-            if self.books[entry].preferred('p') and count % 3:
+            if self.books[entry].get_preferred_region('p') and count % 3:
                 self.place(entry)
 
     @stateful.rule(entry=strategies.integers(0, 2))
