--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -250,9 +250,9 @@
             now,
             self._state.book,
             self._rng,
-            preferred=shifts.get_preferred_region(name),
-            blocked=blocked,
-            avoided=avoided,
+            preferred_region=shifts.get_preferred_region(name),
+            blocked_regions=blocked,
+            avoided_targets=avoided,
         )
         if choice is None or not self._state.book.try_acquire(
             now, choice.target
--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -121,19 +121,22 @@
 
     def tiers(
         self,
-        preferred: ids.RegionName | None,
-        blocked: Collection[ids.RegionName],
+        preferred_region: ids.RegionName | None,
+        blocked_regions: Collection[ids.RegionName],
     ) -> Iterator[list[_Candidate]]:
         """Yield the groups of candidates in the order of choice."""
-        if preferred is not None and preferred not in blocked:
-            yield self._remote.get(preferred, [])
+        if (
+            preferred_region is not None
+            and preferred_region not in blocked_regions
+        ):
+            yield self._remote.get(preferred_region, [])
         yield self._domain
         yield self._region
         if not self.pool.local_only:
             yield [
                 candidate
                 for region, group in self._remote.items()
-                if region not in blocked
+                if region not in blocked_regions
                 for candidate in group
             ]
 
@@ -148,30 +151,30 @@
 def choose_target(
     view: PoolView,
     now: float,
-    book: _slots.SlotTracker,
+    slots: _slots.SlotTracker,
     rng: Random,
-    preferred: ids.RegionName | None = None,
-    blocked: Collection[ids.RegionName] = (),
-    avoided: Collection[ids.TargetId] = (),
+    preferred_region: ids.RegionName | None = None,
+    blocked_regions: Collection[ids.RegionName] = (),
+    avoided_targets: Collection[ids.TargetId] = (),
 ) -> Choice | None:
     """Return the target for a request, or None when no slot is free.
 
-    The order is: `preferred` (the destination of a shift with credit), the
-    own failure domain, the own region, other regions that are not
-    `blocked` (no link tokens or no shift credit). `avoided` lists targets
-    that this request has tried or that run a suspect. A doubtful target is
-    chosen only when no good one has a free slot, in any group, and an
-    ejected one only when no other has.
+    The order is: `preferred_region` (the destination of a shift with
+    credit), the own failure domain, the own region, other regions that are
+    not among `blocked_regions` (no link tokens or no shift credit).
+    `avoided_targets` lists targets that this request has tried or that run a
+    suspect. A doubtful target is chosen only when no good one has a free
+    slot, in any group, and an ejected one only when no other has.
     """
     doubtful: _Candidate | None = None
     last_resort: _Candidate | None = None
-    for tier in view.tiers(preferred, blocked):
+    for tier in view.tiers(preferred_region, blocked_regions):
         best: _Candidate | None = None
         best_cost = float('inf')
         for candidate in tier:
             target = candidate.target
-            allowance, in_flight = book.use_of(now, target)
-            if in_flight >= allowance or target in avoided:
+            allowance, in_flight = slots.use_of(now, target)
+            if in_flight >= allowance or target in avoided_targets:
                 continue
             if candidate.is_ejected:
                 last_resort = last_resort or candidate
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -90,8 +90,8 @@
         self.assertEqual({'t2'}, set(chooser.count()))
         chooser.fill('t2')
         self.assertEqual({'t3', 't4'}, set(chooser.count()))
-        self.assertEqual('t4', chooser.choose(blocked={'b'}))
-        self.assertIsNone(chooser.choose(blocked={'b', 'c'}))
+        self.assertEqual('t4', chooser.choose(blocked_regions={'b'}))
+        self.assertIsNone(chooser.choose(blocked_regions={'b', 'c'}))
 
     def test_remote_is_marked(self) -> None:
         chooser = self.chooser
@@ -110,15 +110,17 @@
 
     def test_shift_goes_first_unless_blocked(self) -> None:
         chooser = self.chooser
-        self.assertEqual('t3', chooser.choose(preferred='b'))
-        blocked = chooser.choose(preferred='b', blocked={'b'})
+        self.assertEqual('t3', chooser.choose(preferred_region='b'))
+        blocked = chooser.choose(preferred_region='b', blocked_regions={'b'})
         self.assertIn(blocked, {'t0', 't1'})
         chooser.fill('t3')
-        self.assertIn(chooser.choose(preferred='b'), {'t0', 't1'})
+        self.assertIn(chooser.choose(preferred_region='b'), {'t0', 't1'})
 
     def test_avoided_targets_are_left_out(self) -> None:
-        self.assertEqual('t1', self.chooser.choose(avoided={'t0'}))
-        self.assertEqual('t2', self.chooser.choose(avoided={'t0', 't1'}))
+        self.assertEqual('t1', self.chooser.choose(avoided_targets={'t0'}))
+        self.assertEqual(
+            't2', self.chooser.choose(avoided_targets={'t0', 't1'})
+        )
 
     def test_ejected_target_comes_after_those_of_the_region(self) -> None:
         chooser = self.chooser
