--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -173,7 +173,7 @@
         best_cost = float('inf')
         for candidate in tier:
             target = candidate.target
-            allowance, in_flight = slots.use_of(now, target)
+            allowance, in_flight = slots.get_use(now, target)
             if in_flight >= allowance or target in avoided_targets:
                 continue
             if candidate.is_ejected:
--- a/fulmarseam/steering/_slots.py
+++ b/fulmarseam/steering/_slots.py
@@ -89,7 +89,7 @@
         if not held.in_flight and not held.slots and not held.connections:
             del self._held[target]
 
-    def free(self, now: float, target: ids.TargetId) -> int:
+    def count_free(self, now: float, target: ids.TargetId) -> int:
         """Return the slots that could be taken now."""
         held = self._held.get(target)
         if held is None or held.until <= now:
@@ -101,7 +101,7 @@
         held = self._held.get(target)
         return 0 if held is None or held.until <= now else held.slots
 
-    def use_of(self, now: float, target: ids.TargetId) -> tuple[int, int]:
+    def get_use(self, now: float, target: ids.TargetId) -> tuple[int, int]:
         """Return the usable slots, taken ones included, and those taken."""
         held = self._held.get(target)
         if held is None:
--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -278,4 +278,4 @@
                 10.7, 10.0, allocator_fixtures.make_response(1, 2, [grant])
             )
         )
-        self.assertEqual(0, book.free(10.7, 't'))
+        self.assertEqual(0, book.count_free(10.7, 't'))
