--- a/fulmarseam/entry/_placing.py
+++ b/fulmarseam/entry/_placing.py
@@ -68,7 +68,7 @@
         """Return whether a job is a suspect; refuse a quarantined one."""
         if not self._suspects.may_exist():
             return False
-        state = self._suspects.table.state(
+        state = self._suspects.table.get_state(
             self._loop.time(), job.fingerprint()
         )
         if state is steering.SuspectState.QUARANTINED:
@@ -136,7 +136,7 @@
             return self._pools.try_place(now, pool, avoided)
         if self._suspects.is_running(job.fingerprint()):
             return None
-        avoided |= self._suspects.table.occupied()
+        avoided |= self._suspects.table.list_occupied_targets()
         placement = self._pools.try_place(now, pool, avoided)
         if placement is not None:
             self._suspects.start(job.fingerprint(), placement.choice.target)
--- a/fulmarseam/entry/_suspects.py
+++ b/fulmarseam/entry/_suspects.py
@@ -57,7 +57,7 @@
 
     def start(self, fingerprint: str, target: ids.TargetId) -> None:
         """Start a suspect on a target that runs no other."""
-        self.table.start(self._clock(), fingerprint, target)
+        self.table.try_start(self._clock(), fingerprint, target)
         self._running.add(fingerprint)
 
     def finish(self, fingerprint: str, target: ids.TargetId) -> None:
--- a/fulmarseam/steering/_suspects.py
+++ b/fulmarseam/steering/_suspects.py
@@ -88,7 +88,7 @@
         if strike.target not in suspect.targets:
             suspect.targets.add(strike.target)
             suspect.until = now + QUARANTINE_S
-        return self.state(now, strike.fingerprint)
+        return self.get_state(now, strike.fingerprint)
 
     def merge(self, now: float, strikes: Iterable[Strike]) -> None:
         """Count the strikes that a peer has sent; repeats change nothing."""
@@ -99,7 +99,7 @@
         """Forget the strikes after a full answer; True if there were any."""
         return self._suspects.pop(fingerprint, None) is not None
 
-    def state(self, now: float, fingerprint: str) -> SuspectState:
+    def get_state(self, now: float, fingerprint: str) -> SuspectState:
         """Return what is known about a request."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.until <= now:
@@ -108,7 +108,7 @@
             return SuspectState.QUARANTINED
         return SuspectState.SUSPECT
 
-    def start(
+    def try_start(
         self, now: float, fingerprint: str, target: ids.TargetId
     ) -> bool:
         """Start a request on a target; False when it must not run there.
@@ -116,7 +116,7 @@
         A clear request always may. A suspect that was started must be
         ended with `finish`.
         """
-        state = self.state(now, fingerprint)
+        state = self.get_state(now, fingerprint)
         if state is SuspectState.CLEAR:
             return True
         if state is SuspectState.QUARANTINED or target in self._running:
@@ -129,7 +129,7 @@
         if self._running.get(target) == fingerprint:
             del self._running[target]
 
-    def occupied(self) -> frozenset[ids.TargetId]:
+    def list_occupied_targets(self) -> frozenset[ids.TargetId]:
         """Return the targets on which a suspect runs."""
         return frozenset(self._running)
 
@@ -139,7 +139,7 @@
             SuspectRow(
                 fingerprint,
                 sorted(suspect.targets),
-                self.state(now, fingerprint),
+                self.get_state(now, fingerprint),
                 suspect.until - now,
             )
             for fingerprint, suspect in self._suspects.items()
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -267,13 +267,13 @@
 
     def test_two_targets_quarantine_for_ten_minutes(self) -> None:
         state = steering.SuspectState
-        self.assertIs(state.CLEAR, self.table.state(0.0, 'f'))
+        self.assertIs(state.CLEAR, self.table.get_state(0.0, 'f'))
         self.assertIs(state.SUSPECT, self.strike(0.0, 'f', 't1'))
         self.assertIs(state.SUSPECT, self.strike(1.0, 'f', 't1'))
         self.assertIs(state.QUARANTINED, self.strike(2.0, 'f', 't2'))
-        self.assertFalse(self.table.start(3.0, 'f', 't3'))
-        self.assertIs(state.QUARANTINED, self.table.state(601.9, 'f'))
-        self.assertIs(state.CLEAR, self.table.state(602.0, 'f'))
+        self.assertFalse(self.table.try_start(3.0, 'f', 't3'))
+        self.assertIs(state.QUARANTINED, self.table.get_state(601.9, 'f'))
+        self.assertIs(state.CLEAR, self.table.get_state(602.0, 'f'))
         self.assertIs(state.SUSPECT, self.strike(603.0, 'f', 't3'))
 
     def test_repeated_strikes_do_not_extend_the_quarantine(self) -> None:
@@ -281,28 +281,28 @@
         self.strike(0.0, 'f', 't2')
         self.strike(599.0, 'f', 't2')
         self.assertIs(
-            steering.SuspectState.CLEAR, self.table.state(600.0, 'f')
+            steering.SuspectState.CLEAR, self.table.get_state(600.0, 'f')
         )
 
     def test_strikes_of_peers_count(self) -> None:
         self.strike(0.0, 'f', 't1')
         self.table.merge(0.0, [steering.Strike('f', 't2')] * 2)
         self.assertIs(
-            steering.SuspectState.QUARANTINED, self.table.state(0.0, 'f')
+            steering.SuspectState.QUARANTINED, self.table.get_state(0.0, 'f')
         )
 
     def test_one_suspect_at_a_time_runs_on_a_target(self) -> None:
         self.strike(0.0, 'f', 't1')
         self.strike(0.0, 'g', 't1')
-        self.assertTrue(self.table.start(1.0, 'f', 't2'))
-        self.assertEqual({'t2'}, self.table.occupied())
-        self.assertFalse(self.table.start(1.0, 'g', 't2'))
-        self.assertTrue(self.table.start(1.0, 'g', 't3'))
-        self.assertTrue(self.table.start(1.0, 'clear', 't2'))
+        self.assertTrue(self.table.try_start(1.0, 'f', 't2'))
+        self.assertEqual({'t2'}, self.table.list_occupied_targets())
+        self.assertFalse(self.table.try_start(1.0, 'g', 't2'))
+        self.assertTrue(self.table.try_start(1.0, 'g', 't3'))
+        self.assertTrue(self.table.try_start(1.0, 'clear', 't2'))
         self.table.finish('clear', 't2')
-        self.assertFalse(self.table.start(1.0, 'g', 't2'))
+        self.assertFalse(self.table.try_start(1.0, 'g', 't2'))
         self.table.finish('f', 't2')
-        self.assertTrue(self.table.start(1.0, 'g', 't2'))
+        self.assertTrue(self.table.try_start(1.0, 'g', 't2'))
 
     def test_full_answer_clears_the_strikes(self) -> None:
         self.strike(0.0, 'f', 't1')
