--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -39,7 +39,7 @@
 from fulmarseam.steering._outcomes import OutcomeTable
 from fulmarseam.steering._placement import place_request
 from fulmarseam.steering._placement import Placement
-from fulmarseam.steering._placement import Room
+from fulmarseam.steering._placement import SlotAvailability
 from fulmarseam.steering._queue import Admission
 from fulmarseam.steering._queue import RequestQueue
 from fulmarseam.steering._queue import Ticket
@@ -76,7 +76,7 @@
     'WindowedRetryBudget',
     'RequestQueue',
     'RetryBudget',
-    'Room',
+    'SlotAvailability',
     'RouteIndex',
     'RouteMatch',
     'ShiftLimiter',
--- a/fulmarseam/steering/_placement.py
+++ b/fulmarseam/steering/_placement.py
@@ -19,7 +19,7 @@
 TIME_USED = 0.9
 
 
-class Room(enum.Enum):
+class SlotAvailability(enum.Enum):
     """How much room the chosen target has."""
 
     FREE = 'free'
@@ -31,7 +31,7 @@
     """The target for an attempt, or None when no one has room."""
 
     target: _observed.ObservedTarget | None
-    room: Room
+    availability: SlotAvailability
 
 
 MaySend = Callable[[_observed.ObservedTarget], bool]
@@ -75,21 +75,21 @@
             cost += sound * UNPREPARED_ROUNDS
         sound += 1
         if not cost:
-            return Placement(item, Room.FREE)
+            return Placement(item, SlotAvailability.FREE)
         if best is None or cost < best_cost:
             best, best_wait, best_cost = item, wait, cost
     patience = UNPREPARED_ROUNDS if choices is not None else 0.0
     if doubtful is not None and (best is None or best_wait > patience):
-        return Placement(doubtful, Room.FREE)
+        return Placement(doubtful, SlotAvailability.FREE)
     if best is None:
-        return Placement(None, Room.NONE)
+        return Placement(None, SlotAvailability.NONE)
     if not best_wait:
-        return Placement(best, Room.FREE)
+        return Placement(best, SlotAvailability.FREE)
     rounds = QUEUE_ROUNDS[min(priority, len(QUEUE_ROUNDS) - 1)]
     expected_s = (best_wait + 1.0) * best.service_s
     if best_wait > rounds or expected_s > time_left_s * TIME_USED:
-        return Placement(None, Room.NONE)
-    return Placement(best, Room.QUEUE)
+        return Placement(None, SlotAvailability.NONE)
+    return Placement(best, SlotAvailability.QUEUE)
 
 
 def _estimate_wait(item: _observed.ObservedTarget, now: float) -> float:
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -42,7 +42,7 @@
         shorter = make_target('b', in_flight=3)
         placed = place([longer, shorter])
         self.assertIs(placed.target, shorter)
-        self.assertIs(placed.room, steering.Room.QUEUE)
+        self.assertIs(placed.availability, steering.SlotAvailability.QUEUE)
 
     def test_no_queue_that_ends_after_the_deadline(self) -> None:
         target = make_target('a', in_flight=3, service_s=1.0)
