--- a/fulmarseam/steering/_placement.py
+++ b/fulmarseam/steering/_placement.py
@@ -43,14 +43,14 @@
     may_send: MaySend,
     priority: int,
     time_left_s: float,
-    choices: int | None = None,
+    max_choices: int | None = None,
     pool_failure_rate: float = 0.0,
 ) -> Placement:
     """Return the target of an attempt.
 
-    `targets` are in the order of preference. Without `choices` the first
+    `targets` are in the order of preference. Without `max_choices` the first
     free one is taken. With them a request concerns an object, of the
-    targets that can be used only the first `choices` count, and one that
+    targets that can be used only the first `max_choices` count, and one that
     is less preferred, and so does not remember the object, counts as if
     its queue were longer by `UNPREPARED_ROUNDS`. A free target that fails
     far more requests than its pool comes after sound ones that are free, or
@@ -63,7 +63,7 @@
     for item in targets:
         if _observed.is_ejected(item, now) or not may_send(item):
             continue
-        if sound == choices:
+        if sound == max_choices:
             break
         wait = _estimate_wait(item, now)
         if _observed.is_doubtful(item, pool_failure_rate):
@@ -71,14 +71,14 @@
                 doubtful = item
             continue
         cost = wait
-        if choices is not None:
+        if max_choices is not None:
             cost += sound * UNPREPARED_ROUNDS
         sound += 1
         if not cost:
             return Placement(item, SlotAvailability.FREE)
         if best is None or cost < best_cost:
             best, best_wait, best_cost = item, wait, cost
-    patience = UNPREPARED_ROUNDS if choices is not None else 0.0
+    patience = UNPREPARED_ROUNDS if max_choices is not None else 0.0
     if doubtful is not None and (best is None or best_wait > patience):
         return Placement(doubtful, SlotAvailability.FREE)
     if best is None:
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -97,7 +97,7 @@
                 lambda item: True,
                 priority=2,
                 time_left_s=2.0,
-                choices=2,
+                max_choices=2,
                 pool_failure_rate=steering.compute_mean_failure_rate(targets),
             )
             if placed.target is not None:
@@ -291,7 +291,7 @@
             lambda item: True,
             priority=1,
             time_left_s=2.5,
-            choices=2,
+            max_choices=2,
         )
         if placed.target is None:
             return None
