--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -110,7 +110,7 @@
             observed = steering.ObservedTarget(
                 record,
                 record.region != self._options.region,
-                phase=self._find_phase(target),
+                token_offset=self._find_phase(target),
                 tokens_at=now,
                 in_flight=observed.in_flight if observed else 0,
             )
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -55,7 +55,7 @@
     `now < ejected_until` the target gets no requests, and while
     `now < cold_until` only as many as `tokens` allow. `silent_since` is
     when the oldest of the present requests started, or the last answer.
-    `phase` between 0 and 1 differs between entries, so that many entries
+    `token_offset` between 0 and 1 differs between entries, so that many entries
     with a small share each do not use it in the same second.
     """
 
@@ -73,7 +73,7 @@
     service_s: float = FIRST_SERVICE_S
     answers: int = 0
     silent_since: float = 0.0
-    phase: float = 0.0
+    token_offset: float = 0.0
     recovering: bool = False
 
     @property
@@ -231,7 +231,7 @@
 
 
 def _reset_tokens(target: ObservedTarget, now: float) -> None:
-    target.tokens = -target.phase
+    target.tokens = -target.token_offset
     target.tokens_at = now
 
 
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -345,7 +345,7 @@
         rng = random.Random(seed)
         share = self.BOUND.compute_sender_rate(self.RATE, senders)
         entries = [
-            make_target('a', phase=rng.random(), tokens=1.0)
+            make_target('a', token_offset=rng.random(), tokens=1.0)
             for _ in range(senders)
         ]
         for entry in entries:
