--- a/fulmarseam/control/_leadership.py
+++ b/fulmarseam/control/_leadership.py
@@ -66,7 +66,7 @@
             term,
             steering.AllocatorOptions(
                 grant_ttl_s=options.grant_ttl_ms / MILLISECONDS,
-                drift=options.clock_drift,
+                clock_drift=options.clock_drift,
             ),
             former_holders=list_registered(tables),
         )
--- a/fulmarseam/entry/_state.py
+++ b/fulmarseam/entry/_state.py
@@ -30,7 +30,7 @@
         self.targets = membership.TargetMirror()
         self.entry_rows = membership.EntryMirror()
         self.book = steering.SlotTracker(options.clock_drift)
-        self.links = steering.LinkTokens(drift=options.clock_drift)
+        self.links = steering.LinkTokens(clock_drift=options.clock_drift)
         self.shifts = steering.ShiftLimiter(options.region)
         self.routes = steering.compile_routes([])
         self.term = 0
--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -19,12 +19,12 @@
 class AllocatorOptions:
     """Times in seconds and shares of an allocator.
 
-    `drift` bounds the difference between the rates of two monotonic
+    `clock_drift` bounds the difference between the rates of two monotonic
     clocks. `link_share` is the part of a link that is shared out.
     """
 
     grant_ttl_s: float = 2.8
-    drift: float = 0.01
+    clock_drift: float = 0.01
     link_share: float = 0.8
 
 
@@ -73,12 +73,14 @@
         self._options = options or AllocatorOptions()
         self._sequence = 0
         self._ledger = _ledger.Ledger(
-            term, self._options.grant_ttl_s, self._options.drift
+            term, self._options.grant_ttl_s, self._options.clock_drift
         )
         self._limits = _limits.Limits(
             self._ledger, now + self._ledger.lifetime_s, former_holders
         )
-        self._send_times = _send_times.SendTimes(term, self._options.drift)
+        self._send_times = _send_times.SendTimes(
+            term, self._options.clock_drift
+        )
         self._targets: dict[ids.TargetId, membership.Target] = {}
         self._closed: set[ids.TargetId] = set()
         self._links: dict[str, int] = {}
--- a/fulmarseam/steering/_ledger.py
+++ b/fulmarseam/steering/_ledger.py
@@ -87,7 +87,7 @@
     after which a grant has ended by every clock in bounds.
     """
 
-    def __init__(self, term: int, ttl_s: float, drift: float) -> None:
+    def __init__(self, term: int, ttl_s: float, clock_drift: float) -> None:
         self.holders: dict[HolderKey, Holder] = {}
         self.slots: collections.Counter[ids.TargetId] = collections.Counter()
         self.connections: collections.Counter[ids.TargetId] = (
@@ -98,8 +98,8 @@
         self.confirmed: dict[ids.TargetId, Amount] = {}
         self.confirmed_links: collections.Counter[str] = collections.Counter()
         self._term = term
-        self.lifetime_s = ttl_s * (1.0 + drift)
-        self._drift = drift
+        self.lifetime_s = ttl_s * (1.0 + clock_drift)
+        self._clock_drift = clock_drift
         self._newest: dict[ids.EntryId, int] = {}
         self._deadlines: dict[ids.PoolName, float] = {}
         self._pools: dict[ids.TargetId, ids.PoolName] = {}
@@ -126,12 +126,12 @@
         pool = self._pools.get(target)
         if pool is None or pool not in self._deadlines:
             return self.longest_deadline()
-        return self._deadlines[pool] * (1.0 + self._drift)
+        return self._deadlines[pool] * (1.0 + self._clock_drift)
 
     def longest_deadline(self) -> float:
         """Return how long any request may run, in seconds."""
         longest = max(self._deadlines.values(), default=DEFAULT_DEADLINE_S)
-        return longest * (1.0 + self._drift)
+        return longest * (1.0 + self._clock_drift)
 
     def report(self, now: float, request: wire.SyncRequest) -> Holder | None:
         """Take a report; None when a newer incarnation is known."""
--- a/fulmarseam/steering/_links.py
+++ b/fulmarseam/steering/_links.py
@@ -28,10 +28,10 @@
     """
 
     def __init__(
-        self, linger_s: float = 0.0, drift: float = CLOCK_DRIFT
+        self, linger_s: float = 0.0, clock_drift: float = CLOCK_DRIFT
     ) -> None:
         self._linger_s = linger_s
-        self._drift = drift
+        self._clock_drift = clock_drift
         self._buckets: dict[str, _Bucket] = {}
         self._order = (0, 0)
         self._applied_at = -math.inf
@@ -58,7 +58,7 @@
             bucket = self._buckets.setdefault(name, _Bucket(filled_at=now))
             self._fill(now, bucket)
             bucket.rate = rates.get(name, 0)
-            bucket.until = sent_at + ttl_s * (1.0 - self._drift)
+            bucket.until = sent_at + ttl_s * (1.0 - self._clock_drift)
             bucket.tokens = min(bucket.tokens, bucket.rate * BURST_S)
         return True
 
--- a/fulmarseam/steering/_send_times.py
+++ b/fulmarseam/steering/_send_times.py
@@ -21,9 +21,9 @@
     long it was held up on the way.
     """
 
-    def __init__(self, term: int, drift: float) -> None:
+    def __init__(self, term: int, clock_drift: float) -> None:
         self._term = term
-        self._drift = drift
+        self._clock_drift = clock_drift
         self._answered: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
@@ -44,5 +44,5 @@
         answered_at = self._answered.get(request.ack_sequence)
         if request.ack_term != self._term or answered_at is None:
             return UNKNOWN_AGE_S
-        passed_s = request.ack_age_ms / 1_000 * (1.0 - self._drift)
+        passed_s = request.ack_age_ms / 1_000 * (1.0 - self._clock_drift)
         return max(0.0, now - answered_at - passed_s)
--- a/fulmarseam/steering/_slots.py
+++ b/fulmarseam/steering/_slots.py
@@ -27,10 +27,10 @@
     `uses` taken at the same moment.
     """
 
-    def __init__(self, drift: float = CLOCK_DRIFT) -> None:
+    def __init__(self, clock_drift: float = CLOCK_DRIFT) -> None:
         self.ack_term = 0
         self.ack_sequence = 0
-        self._drift = drift
+        self._clock_drift = clock_drift
         self._applied_at = -math.inf
         self._held: dict[ids.TargetId, _Held] = {}
 
@@ -162,7 +162,7 @@
     ) -> None:
         held = self._held.setdefault(grant.target, _Held())
         lease_s = min(ttl_s, grant.lease_ms / 1_000)
-        until = sent_at + lease_s * (1.0 - self._drift)
+        until = sent_at + lease_s * (1.0 - self._clock_drift)
         # Leases only grow, so an older answer cannot have allowed more. A
         # grant without a lease leaves the end as it is.
         held.until = max(held.until, until)
