--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -53,13 +53,13 @@
         allocator.allocate(now, targets, pools, links, drains, shifts)
         grants = allocator.issue_grants(now, entry, incarnation)
 
-    `former_holders` names the incarnations of entries that may hold grants of a
-    former leader. Until all of them have acknowledged grants of this term
-    or the grants of the former leader have expired, entries only get
+    `former_holders` names the incarnations of entries that may hold grants
+    of a former leader. Until all of them have acknowledged grants of this
+    term or the grants of the former leader have expired, entries only get
     renewed what they report to hold. After that, what no entry has
     confirmed to hold is kept back until the requests of entries that were
-    never heard must have ended. Without `former_holders` any number of unknown
-    entries is assumed.
+    never heard must have ended. Without `former_holders` any number of
+    unknown entries is assumed.
     """
 
     def __init__(
--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -47,8 +47,9 @@
 class Choice(NamedTuple):
     """A target for a request.
 
-    The slot is not taken yet; `SlotTracker.try_acquire` follows. With `is_remote` the
-    request also needs `ShiftLimiter.try_acquire` and tokens of the links.
+    The slot is not taken yet; `SlotTracker.try_acquire` follows. With
+    `is_remote` the request also needs `ShiftLimiter.try_acquire` and tokens
+    of the links.
     """
 
     target: ids.TargetId
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -55,8 +55,8 @@
     `now < ejected_until` the target gets no requests, and while
     `now < cold_until` only as many as `tokens` allow. `silent_since` is
     when the oldest of the present requests started, or the last answer.
-    `token_offset` between 0 and 1 differs between entries, so that many entries
-    with a small share each do not use it in the same second.
+    `token_offset` between 0 and 1 differs between entries, so that many
+    entries with a small share each do not use it in the same second.
     """
 
     record: wire.TargetRecord
--- a/tests/entry_case.py
+++ b/tests/entry_case.py
@@ -122,7 +122,10 @@
         """Return whether the entry has a slot on a target."""
         now = asyncio.get_running_loop().time()
         found = self.entry.state.targets.get(name)  # type: ignore[arg-type]
-        free = self.entry.state.book.count_free(now, name)  # type: ignore[arg-type]
+        free = self.entry.state.book.count_free(
+            now,
+            name,  # type: ignore[arg-type]
+        )
         return found is not None and free > 0
 
     async def connect(
