--- a/fulmarseam/entry/_placement.py
+++ b/fulmarseam/entry/_placement.py
@@ -73,7 +73,7 @@
         """Return whether a context is a suspect; refuse a quarantined one."""
         if not self._suspects.may_exist():
             return False
-        state = self._suspects.table.state(
+        state = self._suspects.table.get_state(
             self._loop.time(), context.fingerprint()
         )
         if state is steering.SuspectState.QUARANTINED:
@@ -145,7 +145,7 @@
             return self._pools.try_place(now, pool, avoided)
         if self._suspects.is_running(context.fingerprint()):
             return None
-        avoided |= self._suspects.table.occupied()
+        avoided |= self._suspects.table.list_occupied_targets()
         placement = self._pools.try_place(now, pool, avoided)
         if placement is not None:
             self._suspects.start(
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -47,7 +47,7 @@
 class PoolState:
     """The queue and the recent figures of one pool."""
 
-    def __init__(self, pool: wire.Pool, place: steering.Place) -> None:
+    def __init__(self, pool: wire.Pool, place: steering.Locality) -> None:
         self.pool = pool
         self.view = steering.PoolView(pool, place)
         self.queue: steering.RequestQueue[QueuedRequest] = (
@@ -72,7 +72,7 @@
         """Return the slots wanted now."""
         return self.in_flight + len(self.queue) + self.apart
 
-    def update(self, pool: wire.Pool, place: steering.Place) -> None:
+    def update(self, pool: wire.Pool, place: steering.Locality) -> None:
         """Take a changed row of the pool."""
         self.pool = pool
         self.view = steering.PoolView(pool, place)
@@ -106,7 +106,7 @@
     def __init__(
         self,
         state: _state.SharedState,
-        place: steering.Place,
+        place: steering.Locality,
         rng: random.Random,
         request_sync: Callable[[], None],
     ) -> None:
@@ -169,7 +169,7 @@
                 self._serve_queue(now, pool)
 
     def _serve_queue(self, now: float, pool: PoolState) -> None:
-        for ticket in pool.queue.refuse_late(now, pool.service_s):
+        for ticket in pool.queue.remove_late(now, pool.service_s):
             ticket.item.refusal = errors.ErrorKind.NO_CAPACITY
             ticket.item.notify()
         while (first := pool.queue.peek()) is not None:
@@ -245,7 +245,7 @@
         """Take a slot that is free now, if there is one."""
         shifts = self._state.shifts
         name = pool.pool.name
-        blocked = shifts.blocked(name)
+        blocked = shifts.list_blocked_regions(name)
         if pool.regions:
             blocked = blocked | self._find_full_links(now, pool)
         choice = steering.choose_target(
@@ -253,13 +253,15 @@
             now,
             self._state.slots,
             self._rng,
-            preferred=shifts.preferred(name),
-            blocked=blocked,
-            avoided=avoided,
+            preferred_region=shifts.get_preferred_region(name),
+            blocked_regions=blocked,
+            avoided_targets=avoided,
         )
-        if choice is None or not self._state.slots.take(now, choice.target):
+        if choice is None or not self._state.slots.try_acquire(
+            now, choice.target
+        ):
             return None
-        if not shifts.take(name, choice.region):
+        if not shifts.try_acquire(name, choice.region):
             self._state.slots.release(choice.target)
             return None
         pool.in_flight += 1
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -112,7 +112,7 @@
         context.deadline = now + self._find_time_ms(context, pool.pool) / 1_000
         pool.arrivals += 1
         pool.budget.count_request()
-        self._state.shifts.arrive(context.route.pool)
+        self._state.shifts.count_arrival(context.route.pool)
         return context
 
     def _match(self, context: _requests.RequestContext) -> wire.Route:
@@ -216,7 +216,10 @@
             avoided |= {placement.choice.target}
             if not left or not failed.may_repeat:
                 raise may_have_run or failed.error
-            if not self._has_other(pool, avoided) or not pool.budget.take():
+            if (
+                not self._has_other(pool, avoided)
+                or not pool.budget.try_acquire()
+            ):
                 raise may_have_run or failed.error
             self._dependencies.metrics.add(
                 'retries_total', pool=pool.pool.name
--- a/fulmarseam/steering/_slots.py
+++ b/fulmarseam/steering/_slots.py
@@ -17,7 +17,7 @@
     in_flight: int = 0
 
 
-class SlotBook:
+class SlotTracker:
     """Slots that an entry holds on targets and their use.
 
     A grant ends `grant_ttl_ms`, less the clock drift, after the entry sent
@@ -27,10 +27,10 @@
     `uses` taken at the same moment.
     """
 
-    def __init__(self, drift: float = CLOCK_DRIFT) -> None:
+    def __init__(self, clock_drift: float = CLOCK_DRIFT) -> None:
         self.ack_term = 0
         self.ack_sequence = 0
-        self._drift = drift
+        self._clock_drift = clock_drift
         self._applied_at = -math.inf
         self._held: dict[ids.TargetId, _Held] = {}
 
@@ -67,7 +67,7 @@
             return 0
         return int((now - self._applied_at) * 1_000)
 
-    def take(self, now: float, target: ids.TargetId) -> bool:
+    def try_acquire(self, now: float, target: ids.TargetId) -> bool:
         """Start a request on the target if a slot is free.
 
         Every True must be followed by one `release`.
@@ -83,13 +83,13 @@
         return True
 
     def release(self, target: ids.TargetId) -> None:
-        """End a request that `take` started."""
+        """End a request that `try_acquire` started."""
         held = self._held[target]
         held.in_flight -= 1
         if not held.in_flight and not held.slots and not held.connections:
             del self._held[target]
 
-    def free(self, now: float, target: ids.TargetId) -> int:
+    def count_free(self, now: float, target: ids.TargetId) -> int:
         """Return the slots that could be taken now."""
         held = self._held.get(target)
         if held is None or held.until <= now:
@@ -101,7 +101,7 @@
         held = self._held.get(target)
         return 0 if held is None or held.until <= now else held.slots
 
-    def use_of(self, now: float, target: ids.TargetId) -> tuple[int, int]:
+    def get_use(self, now: float, target: ids.TargetId) -> tuple[int, int]:
         """Return the usable slots, taken ones included, and those taken."""
         held = self._held.get(target)
         if held is None:
@@ -162,7 +162,7 @@
     ) -> None:
         held = self._held.setdefault(grant.target, _Held())
         lease_s = min(ttl_s, grant.lease_ms / 1_000)
-        until = sent_at + lease_s * (1.0 - self._drift)
+        until = sent_at + lease_s * (1.0 - self._clock_drift)
         # Leases only grow, so an older answer cannot have allowed more. A
         # grant without a lease leaves the end as it is.
         held.until = max(held.until, until)
--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -50,7 +50,7 @@
         # not heard any more; only the late request of e0 claims them.
         cluster = self.start_with_holder()
         late = cluster.request('e0')
-        cluster.books['e0'] = steering.SlotBook()
+        cluster.books['e0'] = steering.SlotTracker()
         cluster.leader.report(cluster.now, late)
         cluster.now += allocator_fixtures.LIFETIME_S + 0.01
         cluster.books['e0'].apply(
@@ -73,7 +73,7 @@
         cluster.reports = reports
 
     def test_book_refuses_a_new_term_asked_before_a_change(self) -> None:
-        book = steering.SlotBook()
+        book = steering.SlotTracker()
         grant = wire.SlotGrant(
             target='t', slots=3, connections=3, lease_ms=3_000
         )
@@ -174,10 +174,12 @@
         cluster.sync('e1')
         cluster.plan()
         self.assertEqual(0, cluster.total('e1'))
-        self.assertFalse(cluster.leader.has_news(cluster.now, 'e1', 1))
+        self.assertFalse(
+            cluster.leader.has_grant_changes(cluster.now, 'e1', 1)
+        )
         cluster.sync('e0')
         cluster.sync('e0')
-        self.assertTrue(cluster.leader.has_news(cluster.now, 'e1', 1))
+        self.assertTrue(cluster.leader.has_grant_changes(cluster.now, 'e1', 1))
 
     def test_no_entry_has_news_right_after_its_answer(self) -> None:
         cluster = allocator_fixtures.build_pair()
@@ -190,7 +192,7 @@
             for name in ('e0', 'e1', 'e0', 'e1'):
                 cluster.now += 0.05
                 cluster.sync(name)
-                news = cluster.leader.has_news(cluster.now, name, 1)
+                news = cluster.leader.has_grant_changes(cluster.now, name, 1)
                 self.assertFalse(news, (wanted, name))
 
 
@@ -203,7 +205,7 @@
 
     def find_age(self, seconds: float, request: wire.SyncRequest) -> float:
         now = self.cluster.now + seconds
-        return self.cluster.leader.find_request_age(now, request)
+        return self.cluster.leader.compute_max_request_age(now, request)
 
     def test_delay_on_the_way_counts(self) -> None:
         self.cluster.now += 0.4
@@ -227,8 +229,8 @@
 class SlotBookTest(unittest.TestCase):
     """Guards against use of grants after their end."""
 
-    def make_book(self, lease_ms: int) -> steering.SlotBook:
-        book = steering.SlotBook()
+    def make_book(self, lease_ms: int) -> steering.SlotTracker:
+        book = steering.SlotTracker()
         grant = wire.SlotGrant(
             target='t', slots=2, connections=2, lease_ms=lease_ms
         )
@@ -241,24 +243,24 @@
 
     def test_grant_ends_after_its_time_from_the_request(self) -> None:
         book = self.make_book(3_000)
-        self.assertTrue(book.take(12.77, 't'))
-        self.assertFalse(book.take(12.78, 't'))
+        self.assertTrue(book.try_acquire(12.77, 't'))
+        self.assertFalse(book.try_acquire(12.78, 't'))
         uses = book.uses(12.78)
         self.assertEqual([(0, 1)], [(u.allowance, u.in_flight) for u in uses])
         self.assertEqual(1, book.connection_share(12.78, 't'))
 
     def test_grant_ends_with_the_lease_of_its_target(self) -> None:
         book = self.make_book(500)
-        self.assertTrue(book.take(10.49, 't'))
-        self.assertFalse(book.take(10.5, 't'))
+        self.assertTrue(book.try_acquire(10.49, 't'))
+        self.assertFalse(book.try_acquire(10.5, 't'))
 
     def test_grant_that_is_withdrawn_keeps_what_is_in_flight(self) -> None:
         book = self.make_book(3_000)
-        self.assertTrue(book.take(11.0, 't'))
+        self.assertTrue(book.try_acquire(11.0, 't'))
         self.assertTrue(
             book.apply(11.1, 11.0, allocator_fixtures.make_response(1, 2, []))
         )
-        self.assertFalse(book.take(11.1, 't'))
+        self.assertFalse(book.try_acquire(11.1, 't'))
         self.assertEqual(1, book.in_flight('t'))
         book.release('t')
         self.assertEqual([], book.uses(11.1))
@@ -276,4 +278,4 @@
                 10.7, 10.0, allocator_fixtures.make_response(1, 2, [grant])
             )
         )
-        self.assertEqual(0, book.free(10.7, 't'))
+        self.assertEqual(0, book.count_free(10.7, 't'))
--- a/tests/test_allocator_model.py
+++ b/tests/test_allocator_model.py
@@ -46,7 +46,7 @@
     def __init__(self, name: str, incarnation: int) -> None:
         self.name = name
         self.incarnation = incarnation
-        self.book = steering.SlotBook()
+        self.book = steering.SlotTracker()
         self.tokens = steering.LinkTokens(linger_s=4.0)
         self.running: list[tuple[str, float]] = []
         self.wanted = 0
@@ -101,7 +101,7 @@
     def change_leader(self) -> None:
         self.term += 1
         self.allocator = steering.Allocator(
-            self.now, self.term, former=set(self.registered)
+            self.now, self.term, former_holders=set(self.registered)
         )
         self.table = membership.TargetTable()
 
@@ -109,7 +109,7 @@
         """Forget the restarted entries that can hold nothing any more."""
         for name, incarnation in list(self.registered):
             if incarnation < self.entries[name].incarnation and (
-                not self.allocator.may_hold(self.now, name, incarnation)
+                not self.allocator.may_hold_grants(self.now, name, incarnation)
             ):
                 self.registered.discard((name, incarnation))
 
@@ -150,7 +150,7 @@
         self.registered.add((name, incarnation))
         self.allocator.report(self.now, request)
         self.allocator.allocate(self.now, self.table.all(), [POOL], LINKS, [])
-        grants = self.allocator.grants_for(self.now, name, incarnation)
+        grants = self.allocator.issue_grants(self.now, name, incarnation)
         response = wire.SyncResponse(
             term=self.term,
             leadership_age_ms=0,
@@ -187,7 +187,7 @@
 
     def start(self, name: str, target: str) -> None:
         entry = self.entries[name]
-        if entry.book.take(entry.clock(self.now), target):
+        if entry.book.try_acquire(entry.clock(self.now), target):
             deadline = entry.clock(self.now) + POOL.max_deadline_ms / 1_000
             entry.running.append((target, deadline / RATES[name]))
 
