--- a/fulmarseam/steering/_demand.py
+++ b/fulmarseam/steering/_demand.py
@@ -1,4 +1,4 @@
-"""The rows that a plan works on, made from reports and tables."""
+"""Input rows of a plan, made from reports and configuration tables."""
 
 from collections.abc import Collection
 from collections.abc import Iterable
@@ -13,15 +13,15 @@
 from fulmarseam.steering import _ledger
 from fulmarseam.steering import _plan
 
-# Idle connections that an entry may keep above its slots on a target, so
-# that a connection closed after a timeout does not cost a slot.
+# Idle connections that an entry may keep in addition to its slots on a
+# target, so that a connection closed after a timeout does not cost a slot.
 IDLE_CONNECTIONS = 4
 
 DrainSet = frozenset[tuple[wire.DrainScope, str]]
 
 
-def list_in_force(drains: Iterable[wire.Drain]) -> DrainSet:
-    """Return the scopes and subjects of the drains in force."""
+def list_drains_in_force(drains: Iterable[wire.Drain]) -> DrainSet:
+    """Return scope and subject of each drain that is in force."""
     return frozenset(
         (drain.scope, drain.subject)
         for drain in drains
@@ -30,7 +30,7 @@
 
 
 def is_entry_drained(holder: _ledger.Holder, drains: DrainSet) -> bool:
-    """Return whether an entry gets no more than it uses."""
+    """Return whether an entry drains, so that it gets no spare slots."""
     info = holder.info
     return (
         holder.draining
@@ -41,7 +41,7 @@
 
 
 def is_usable(now: float, target: membership.Target, drains: DrainSet) -> bool:
-    """Return whether a target may get new work."""
+    """Return whether a target may get new requests."""
     report = target.report
     return (
         report.state is wire.TargetState.READY
@@ -52,35 +52,39 @@
     )
 
 
-def usable_slots(pool: wire.Pool, slots: int, ready_for_s: float) -> int:
-    """Return the slots of a target that is ready for some seconds.
+def compute_usable_slots(
+    pool: wire.Pool, slots: int, ready_for_s: float
+) -> int:
+    """Return the usable slots of a target during its slow start.
 
-    A cold target starts with `cold_factor` of its slots, at least one, and
-    grows evenly to all of them over `slow_start_s`.
+    A cold target starts with a share of `cold_factor` of its slots, at
+    least one. The share grows linearly to 1 over `slow_start_s`.
     """
     if ready_for_s >= pool.slow_start_s or slots <= 1:
         return slots
-    warm = max(0.0, ready_for_s) / pool.slow_start_s
-    share = pool.cold_factor + (1.0 - pool.cold_factor) * warm
+    warm_up_progress = max(0.0, ready_for_s) / pool.slow_start_s
+    share = pool.cold_factor + (1.0 - pool.cold_factor) * warm_up_progress
     return min(slots, max(1, int(slots * share)))
 
 
-def wanted_connections(report: wire.TargetReport, slots: int) -> int:
-    """Return the connections that go with some slots of a target.
+def compute_connections(report: wire.TargetReport, slots: int) -> int:
+    """Return the connections granted with a number of slots of a target.
 
-    Every slot has the same part of the connections, so an entry cannot
-    take those that the slots of another need.
+    Every slot has the same share of the connections, so an entry cannot use
+    up those that the slots of another entry need.
     """
     if slots <= 0:
         return 0
-    each = report.connections // max(1, report.slots)
-    return max(slots, min(slots * each, slots + IDLE_CONNECTIONS))
+    connections_per_slot = report.connections // max(1, report.slots)
+    return max(
+        slots, min(slots * connections_per_slot, slots + IDLE_CONNECTIONS)
+    )
 
 
 def make_capacity(
     now: float, pool: wire.Pool, target: membership.Target
 ) -> _plan.TargetCapacity:
-    """Return the row of a target that is usable."""
+    """Return the row of a usable target."""
     report = target.report
     ready_for_s = 0.0
     if target.ready_since is not None:
@@ -90,14 +94,14 @@
         report.target,
         report.region,
         report.failure_domain,
-        usable_slots(pool, slots, ready_for_s),
+        compute_usable_slots(pool, slots, ready_for_s),
     )
 
 
 def make_claimant(
     holder: _ledger.Holder,
     pool: wire.Pool,
-    members: Collection[ids.TargetId],
+    usable_targets: Collection[ids.TargetId],
     draining: bool,
     shifts: Sequence[wire.Shift],
 ) -> _plan.Claimant:
@@ -107,29 +111,29 @@
     """
     info = holder.info
     held: dict[ids.TargetId, int] = {}
-    busy: dict[ids.TargetId, int] = {}
+    in_flight: dict[ids.TargetId, int] = {}
     for target, use in holder.uses.items():
-        if target not in members:
+        if target not in usable_targets:
             continue
         if use.in_flight:
-            busy[target] = use.in_flight
-        if holder.issued is None:
+            in_flight[target] = use.in_flight
+        if holder.last_issued is None:
             held[target] = use.allowance
-    if holder.issued is not None:
-        for target, amount in holder.issued.amounts.items():
-            if target in members:
+    if holder.last_issued is not None:
+        for target, amount in holder.last_issued.amounts.items():
+            if target in usable_targets:
                 held[target] = amount.slots
     return _plan.Claimant(
         key=(info.entry, info.incarnation),
         region=info.region,
         domain=info.failure_domain,
-        wanted=max(holder.wanted.get(pool.name, 0), sum(busy.values())),
-        recent=math.ceil(holder.recent.get(pool.name, 0.0)),
+        wanted=max(holder.wanted.get(pool.name, 0), sum(in_flight.values())),
+        recent_wanted=math.ceil(holder.recent_wanted.get(pool.name, 0.0)),
         draining=draining,
         avoided=holder.doubtful,
         held=held,
-        busy=busy,
-        moves=_list_moves(info, pool, shifts),
+        in_flight=in_flight,
+        shift_shares=_list_shift_shares(info, pool, shifts),
     )
 
 
@@ -138,9 +142,10 @@
     claimants: Sequence[_plan.Claimant],
     capacities: Sequence[_plan.TargetCapacity],
 ) -> Iterator[tuple[list[_plan.Claimant], list[_plan.TargetCapacity]]]:
-    """Yield the parts of a pool that are planned apart.
+    """Yield the parts of a pool that are planned separately.
 
-    Only a pool that is `local_only` has more than one, one for a region.
+    A `local_only` pool has one part for each region, any other pool only
+    one.
     """
     if not pool.local_only:
         yield list(claimants), list(capacities)
@@ -155,26 +160,28 @@
 def plan_links(
     holders: Iterable[_ledger.Holder], links: Mapping[str, int]
 ) -> None:
-    """Plan the bytes/s of every link for the entries at its ends.
+    """Plan the bytes/s of every link for the entries at its two ends.
 
-    Demand is met max-min fair; what is left over is shared evenly.
+    The demand gets max-min fair shares; the remainder is divided evenly.
     """
-    rows = list(holders)
-    for holder in rows:
+    live_holders = list(holders)
+    for holder in live_holders:
         holder.links_planned = {}
     for name, total in links.items():
-        ends = name.split('>')
-        users = [row for row in rows if row.info.region in ends]
-        if not users:
+        end_regions = name.split('>')
+        link_holders = [
+            row for row in live_holders if row.info.region in end_regions
+        ]
+        if not link_holders:
             continue
-        wanted = [row.links_wanted.get(name, 0) for row in users]
-        shares = _plan.share_fairly(wanted, wanted, total)
-        spare = (total - sum(shares)) // len(users)
-        for row, share in zip(users, shares, strict=True):
+        wanted = [row.links_wanted.get(name, 0) for row in link_holders]
+        shares = _plan.compute_max_min_shares(wanted, wanted, total)
+        spare = (total - sum(shares)) // len(link_holders)
+        for row, share in zip(link_holders, shares, strict=True):
             row.links_planned[name] = share + spare
 
 
-def _list_moves(
+def _list_shift_shares(
     info: wire.EntryInfo, pool: wire.Pool, shifts: Sequence[wire.Shift]
 ) -> tuple[tuple[ids.RegionName, float], ...]:
     return tuple(
--- a/fulmarseam/steering/_plan.py
+++ b/fulmarseam/steering/_plan.py
@@ -1,8 +1,8 @@
-"""The plan of slots of one pool over entries.
+"""Distribution of the slots of one pool over entries.
 
-Entities are `Claimant` rows (entries) and `TargetCapacity` rows (targets).
-The plan says who should have what; the ledger decides what may be given
-now.
+A `Claimant` row stands for an entry and a `TargetCapacity` row for a target.
+The plan states the slots that each entry should have; the ledger limits what
+may be granted now.
 """
 
 from collections.abc import Callable
@@ -15,47 +15,49 @@
 from fulmarseam import ids
 from fulmarseam.steering import _ledger
 
-# Share of the slots that nobody asks for which is handed out at once. The
-# rest stays with the leader for entries whose demand grows.
+# Share of the spare slots, which no entry asks for, that is granted in
+# advance. The leader keeps the rest for entries whose demand grows.
 SPARE_SHARE = 0.75
-# An entry keeps this many slots more than its part of the spare ones, so
-# that small changes of demand move nothing.
-SPARE_SLACK = 1
+# Slots that an entry keeps in excess of its part of the spare slots, so that
+# small changes of demand move no slots.
+SPARE_SLACK_SLOTS = 1
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class TargetCapacity:
-    """A target; `room` is what the plan has not given away."""
+    """A target; `free_slots` counts the slots not planned yet."""
 
     target: ids.TargetId
     region: ids.RegionName
     domain: ids.DomainName
-    room: int
+    free_slots: int
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Claimant:
     """An entry that claims slots of the pool.
 
-    `wanted` counts the slots that it wants now and `recent` those that it
-    wanted lately. `busy` counts its requests in flight and `held` the slots
-    it may use. `quota` is its part of the demand and `placed` what the plan
-    gives it. `avoided` lists targets that fail its requests. `moves` lists
-    the regions that shifts send part of its requests to.
+    `wanted` counts the slots that it wants now and `recent_wanted` those
+    that it wanted recently. `held` counts the slots that it may use by
+    target and `in_flight` its running requests. `avoided` lists targets
+    that fail its requests. `shift_shares` lists the regions that shifts
+    send part of its requests to, each with this part. `quota` counts the
+    slots that its demand entitles it to and `placed_slots` those that are
+    in `plan` already.
     """
 
     key: _ledger.HolderKey
     region: ids.RegionName
     domain: ids.DomainName
     wanted: int
-    recent: int
+    recent_wanted: int
     draining: bool
     held: Mapping[ids.TargetId, int]
-    busy: Mapping[ids.TargetId, int]
+    in_flight: Mapping[ids.TargetId, int]
     avoided: frozenset[ids.TargetId] = frozenset()
-    moves: tuple[tuple[ids.RegionName, float], ...] = ()
+    shift_shares: tuple[tuple[ids.RegionName, float], ...] = ()
     quota: int = 0
-    placed: int = 0
+    placed_slots: int = 0
     plan: dict[ids.TargetId, int] = dataclasses.field(default_factory=dict)
 
 
@@ -69,110 +71,126 @@
 ) -> None:
     """Fill the plans of the claimants.
 
-    Slots in use stay where they are, then demand is placed in the own
-    failure domain, the own region and other regions. Part of what is left
-    over goes to the entries of the region.
+    Slots in use stay on their targets. Remaining demand is placed in the
+    claimant's own failure domain, then its own region, then other regions.
+    Part of the spare slots goes to the entries in the region of the targets.
     """
-    _set_quotas(claimants, sum(capacity.room for capacity in capacities))
+    _set_quotas(claimants, sum(capacity.free_slots for capacity in capacities))
     by_region = _group_by_region(capacities)
-    _keep_busy(
+    _keep_in_flight(
         claimants, {capacity.target: capacity for capacity in capacities}
     )
-    _place_moves(claimants, by_region)
-    _place_near(claimants, by_region, {c.key: c.quota for c in claimants})
-    _place_far(claimants, by_region, has_link)
-    # An entry that finds no other slots gets those on avoided targets.
+    _place_shifted(claimants, by_region)
+    _place_in_own_region(
+        claimants, by_region, {c.key: c.quota for c in claimants}
+    )
+    _place_in_other_regions(claimants, by_region, has_link)
+    # Avoided targets are used only when an entry gets no other slots.
     for claimant in claimants:
-        if _need(claimant):
+        if _count_unplaced(claimant):
             claimant.avoided = frozenset()
-    _place_near(claimants, by_region, {c.key: c.quota for c in claimants})
+    _place_in_own_region(
+        claimants, by_region, {c.key: c.quota for c in claimants}
+    )
     _place_spare(claimants, by_region)
 
 
-def share_fairly(
+def compute_max_min_shares(
     wanted: Sequence[int], held: Sequence[int], total: int
 ) -> list[int]:
-    """Return max-min fair whole shares of `total`.
+    """Return max-min fair integer shares of `total`.
 
-    What cannot be divided goes to those that hold most, to move nothing.
+    An indivisible remainder goes to those that hold most in excess of their
+    share, so that no slots move.
     """
     shares = [0] * len(wanted)
     order = sorted(range(len(wanted)), key=wanted.__getitem__)
-    left = total
+    remaining = total
     for position, index in enumerate(order):
-        share = min(wanted[index], left // (len(order) - position))
+        share = min(wanted[index], remaining // (len(order) - position))
         shares[index] = share
-        left -= share
+        remaining -= share
     unmet = [index for index in order if shares[index] < wanted[index]]
     unmet.sort(key=lambda index: held[index] - shares[index], reverse=True)
-    for index in unmet[:left]:
+    for index in unmet[:remaining]:
         shares[index] += 1
     return shares
 
 
 def _set_quotas(claimants: Sequence[Claimant], total: int) -> None:
-    """Share out by what is wanted now, then by what was wanted lately.
+    """Set the quotas by current demand, then by recent demand.
 
-    Slots kept for recent demand would starve an entry with a queue.
+    Recent demand comes second because slots kept for it would starve an
+    entry that has queued requests.
     """
     held = [sum(claimant.held.values()) for claimant in claimants]
-    shares = share_fairly(
+    shares = compute_max_min_shares(
         [claimant.wanted for claimant in claimants], held, total
     )
-    lately = [
-        max(0, claimant.recent - share)
+    recent_excess = [
+        max(0, claimant.recent_wanted - share)
         for claimant, share in zip(claimants, shares, strict=True)
     ]
-    more = share_fairly(lately, held, total - sum(shares))
-    for claimant, share, extra in zip(claimants, shares, more, strict=True):
-        claimant.quota = share + extra
+    extra_shares = compute_max_min_shares(
+        recent_excess, held, total - sum(shares)
+    )
+    for claimant, share, extra_share in zip(
+        claimants, shares, extra_shares, strict=True
+    ):
+        claimant.quota = share + extra_share
 
 
 def _group_by_region(
     capacities: Iterable[TargetCapacity],
 ) -> dict[ids.RegionName, list[TargetCapacity]]:
-    grouped: dict[ids.RegionName, list[TargetCapacity]] = {}
+    by_region: dict[ids.RegionName, list[TargetCapacity]] = {}
     for capacity in capacities:
-        grouped.setdefault(capacity.region, []).append(capacity)
-    return grouped
+        by_region.setdefault(capacity.region, []).append(capacity)
+    return by_region
 
 
-def _keep_busy(
+def _keep_in_flight(
     claimants: Sequence[Claimant],
     capacities: Mapping[ids.TargetId, TargetCapacity],
 ) -> None:
     for claimant in claimants:
-        for target, count in claimant.busy.items():
+        for target, count in claimant.in_flight.items():
             capacity = capacities.get(target)
             if capacity is not None:
-                kept = min(count, claimant.held.get(target, 0))
-                _place(claimant, capacity, min(kept, _need(claimant)))
+                kept_slots = min(count, claimant.held.get(target, 0))
+                _place_slots(
+                    claimant,
+                    capacity,
+                    min(kept_slots, _count_unplaced(claimant)),
+                )
 
 
-def _place_moves(
+def _place_shifted(
     claimants: Sequence[Claimant],
     by_region: Mapping[ids.RegionName, list[TargetCapacity]],
 ) -> None:
-    """Place the part of the demand that shifts send elsewhere."""
+    """Place the part of the demand that shifts move to other regions."""
     for claimant in claimants:
-        for region, share in claimant.moves:
+        for region, share in claimant.shift_shares:
             capacities = by_region.get(region, [])
-            there = sum(
+            planned_there = sum(
                 claimant.plan.get(capacity.target, 0)
                 for capacity in capacities
             )
-            wanted = math.ceil(share * claimant.quota) - there
-            limit = claimant.placed + min(wanted, _need(claimant))
-            _keep(claimant, capacities, limit)
-            _spread(claimant, capacities, limit)
+            wanted = math.ceil(share * claimant.quota) - planned_there
+            limit = claimant.placed_slots + min(
+                wanted, _count_unplaced(claimant)
+            )
+            _keep_held(claimant, capacities, limit)
+            _spread_evenly(claimant, capacities, limit)
 
 
-def _place_near(
+def _place_in_own_region(
     claimants: Sequence[Claimant],
     by_region: Mapping[ids.RegionName, list[TargetCapacity]],
     limits: Mapping[_ledger.HolderKey, int],
 ) -> None:
-    """Place in the own failure domain, then in the own region."""
+    """Place demand in the own failure domain, then in the own region."""
     domains = {
         claimant.key: [
             capacity
@@ -186,22 +204,22 @@
         for claimant in claimants
     }
     for capacities in (domains, regions):
-        for place in (_keep, _spread):
+        for place_in in (_keep_held, _spread_evenly):
             for claimant in claimants:
                 limit = limits[claimant.key]
-                if claimant.placed < limit:
-                    place(claimant, capacities[claimant.key], limit)
+                if claimant.placed_slots < limit:
+                    place_in(claimant, capacities[claimant.key], limit)
 
 
-def _place_far(
+def _place_in_other_regions(
     claimants: Sequence[Claimant],
     by_region: Mapping[ids.RegionName, list[TargetCapacity]],
     has_link: LinkCheck,
 ) -> None:
-    """Place the demand that the own region has no room for."""
-    for place in (_keep, _spread):
+    """Place the demand for which the own region has no free slots."""
+    for place_in in (_keep_held, _spread_evenly):
         for claimant in claimants:
-            if not _need(claimant):
+            if not _count_unplaced(claimant):
                 continue
             capacities = [
                 capacity
@@ -210,88 +228,99 @@
                 and has_link(claimant.region, region)
                 for capacity in group
             ]
-            place(claimant, capacities, claimant.quota)
+            place_in(claimant, capacities, claimant.quota)
 
 
 def _place_spare(
     claimants: Sequence[Claimant],
     by_region: Mapping[ids.RegionName, list[TargetCapacity]],
 ) -> None:
-    """Hand out part of the slots that nobody asks for."""
+    """Plan part of the slots that no entry asks for."""
     for region, capacities in by_region.items():
-        near = [
+        local_claimants = [
             claimant
             for claimant in claimants
             if claimant.region == region and not claimant.draining
         ]
         spare = int(
-            SPARE_SHARE * sum(capacity.room for capacity in capacities)
+            SPARE_SHARE * sum(capacity.free_slots for capacity in capacities)
         )
-        if not near or not spare:
+        if not local_claimants or not spare:
             continue
-        parts = _divide(spare, [claimant.quota + 1 for claimant in near])
+        parts = _divide_by_weight(
+            spare, [claimant.quota + 1 for claimant in local_claimants]
+        )
         limits = {
-            claimant.key: claimant.placed + part
-            for claimant, part in zip(near, parts, strict=True)
+            claimant.key: claimant.placed_slots + part
+            for claimant, part in zip(local_claimants, parts, strict=True)
         }
-        for claimant in near:
-            _keep(claimant, capacities, limits[claimant.key] + SPARE_SLACK)
-        _place_near(near, {region: capacities}, limits)
+        for claimant in local_claimants:
+            _keep_held(
+                claimant, capacities, limits[claimant.key] + SPARE_SLACK_SLOTS
+            )
+        _place_in_own_region(local_claimants, {region: capacities}, limits)
 
 
-def _divide(total: int, weights: Sequence[int]) -> list[int]:
-    """Return whole parts of `total` in proportion to the weights."""
-    whole = sum(weights)
-    parts = [total * weight // whole for weight in weights]
-    rests = [total * weight % whole for weight in weights]
-    order = sorted(range(len(weights)), key=rests.__getitem__, reverse=True)
+def _divide_by_weight(total: int, weights: Sequence[int]) -> list[int]:
+    """Divide `total` into integer parts in proportion to the weights."""
+    total_weight = sum(weights)
+    parts = [total * weight // total_weight for weight in weights]
+    remainders = [total * weight % total_weight for weight in weights]
+    order = sorted(
+        range(len(weights)), key=remainders.__getitem__, reverse=True
+    )
     for index in order[: total - sum(parts)]:
         parts[index] += 1
     return parts
 
 
-def _need(claimant: Claimant) -> int:
-    return claimant.quota - claimant.placed
+def _count_unplaced(claimant: Claimant) -> int:
+    return claimant.quota - claimant.placed_slots
 
 
-def _place(claimant: Claimant, capacity: TargetCapacity, count: int) -> None:
-    count = min(count, capacity.room)
+def _place_slots(
+    claimant: Claimant, capacity: TargetCapacity, count: int
+) -> None:
+    count = min(count, capacity.free_slots)
     if count <= 0:
         return
-    capacity.room -= count
-    claimant.placed += count
+    capacity.free_slots -= count
+    claimant.placed_slots += count
     planned = claimant.plan.get(capacity.target, 0)
     claimant.plan[capacity.target] = planned + count
 
 
-def _keep(
+def _keep_held(
     claimant: Claimant, capacities: Sequence[TargetCapacity], limit: int
 ) -> None:
-    """Place where the claimant holds slots already."""
+    """Place demand on targets where the claimant already holds slots."""
     held = claimant.held
     for capacity in capacities:
-        need = limit - claimant.placed
-        if need <= 0:
+        unplaced = limit - claimant.placed_slots
+        if unplaced <= 0:
             return
         if capacity.target in held and capacity.target not in claimant.avoided:
-            kept = held[capacity.target] - claimant.plan.get(
+            kept_slots = held[capacity.target] - claimant.plan.get(
                 capacity.target, 0
             )
-            _place(claimant, capacity, min(kept, need))
+            _place_slots(claimant, capacity, min(kept_slots, unplaced))
 
 
-def _spread(
+def _spread_evenly(
     claimant: Claimant, capacities: Sequence[TargetCapacity], limit: int
 ) -> None:
-    """Place one slot a turn on the targets with most room."""
-    while claimant.placed < limit:
-        available = [
+    """Place slots one by one on the targets with most free slots."""
+    while claimant.placed_slots < limit:
+        open_capacities = [
             capacity
             for capacity in capacities
-            if capacity.room > 0 and capacity.target not in claimant.avoided
+            if capacity.free_slots > 0
+            and capacity.target not in claimant.avoided
         ]
-        if not available:
+        if not open_capacities:
             return
-        available.sort(key=lambda capacity: capacity.room, reverse=True)
-        for capacity in available[: limit - claimant.placed]:
-            _place(claimant, capacity, 1)
+        open_capacities.sort(
+            key=lambda capacity: capacity.free_slots, reverse=True
+        )
+        for capacity in open_capacities[: limit - claimant.placed_slots]:
+            _place_slots(claimant, capacity, 1)
--- a/fulmarseam/steering/_send_times.py
+++ b/fulmarseam/steering/_send_times.py
@@ -1,48 +1,49 @@
-"""When a sync request can have been sent, on the clock of the leader."""
+"""Upper bound of the time that a sync request was in transit."""
 
 import collections
 
 from fulmarseam import wire
 
-# Older acknowledgements say nothing that a lease of 3 s still needs.
-KEPT_S = 10.0
-# A request that acknowledges nothing of this term may have been under way
-# for any time. Its announcements count as this old, so that a target that
-# has left since gets new work for half a lease at most, while one that is
-# ready has time to announce itself once more.
+# Time for which response times are kept. A target lease lasts 3 s, so older
+# acknowledgements are of no use.
+RETENTION_S = 10.0
+# Age assumed for a request that acknowledges no response of this term and so
+# may have been in transit for any time. Its announcements count as this old:
+# a target that has left in the meantime gets new requests for half a lease at
+# most, and a ready target has time to announce itself once more.
 UNKNOWN_AGE_S = 1.5
 
 
 class SendTimes:
-    """Times of the answers of one term, by their sequence number.
+    """Send times of the responses of one term, by sequence number.
 
-    A request names the answer applied last and how long ago that was. It
-    cannot have been sent earlier than the answer plus that time, however
-    long it was held up on the way.
+    A request names the response applied last and the time since then. It
+    cannot have been sent before the send time of that response plus this
+    time, however long the network delayed the request.
     """
 
     def __init__(self, term: int, clock_drift: float) -> None:
         self._term = term
         self._clock_drift = clock_drift
-        self._answered: collections.OrderedDict[int, float] = (
+        self._response_times: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
 
-    def note_answer(self, now: float, sequence: int) -> None:
-        """Note that an answer is sent now."""
-        self._answered[sequence] = now
-        while next(iter(self._answered.values())) < now - KEPT_S:
-            self._answered.popitem(last=False)
+    def record_response(self, now: float, sequence: int) -> None:
+        """Record that a response is sent now."""
+        self._response_times[sequence] = now
+        while next(iter(self._response_times.values())) < now - RETENTION_S:
+            self._response_times.popitem(last=False)
 
-    def find_age(self, now: float, request: wire.SyncRequest) -> float:
-        """Return the most seconds that a request can have been under way.
+    def compute_max_age(self, now: float, request: wire.SyncRequest) -> float:
+        """Return the longest time that a request can have been in transit.
 
-        Requests that do not tell their `ack_age_ms` count as just sent.
+        A request without `ack_age_ms` counts as just sent.
         """
         if request.ack_age_ms is None:
             return 0.0
-        answered_at = self._answered.get(request.ack_sequence)
-        if request.ack_term != self._term or answered_at is None:
+        responded_at = self._response_times.get(request.ack_sequence)
+        if request.ack_term != self._term or responded_at is None:
             return UNKNOWN_AGE_S
-        passed_s = request.ack_age_ms / 1_000 * (1.0 - self._clock_drift)
-        return max(0.0, now - answered_at - passed_s)
+        elapsed_s = request.ack_age_ms / 1_000 * (1.0 - self._clock_drift)
+        return max(0.0, now - responded_at - elapsed_s)
--- a/tests/test_slot_plan.py
+++ b/tests/test_slot_plan.py
@@ -73,7 +73,7 @@
         self.assertEqual({'t0': 3, 't1': 3, 't2': 1}, cluster.held('e0'))
 
     def plan_one(
-        self, wanted: int, held: dict[str, int], busy: dict[str, int]
+        self, wanted: int, held: dict[str, int], in_flight: dict[str, int]
     ) -> dict[str, int]:
         """Return the plan of a draining entry, which gets no spare."""
         capacities = [
@@ -81,7 +81,7 @@
             _plan.TargetCapacity('t1', 'a', 'a1', 3),
         ]
         claimant = _plan.Claimant(
-            ('e0', 1), 'a', 'a1', wanted, wanted, True, held, busy
+            ('e0', 1), 'a', 'a1', wanted, wanted, True, held, in_flight
         )
         _plan.plan_pool([claimant], capacities, lambda near, far: False)
         return claimant.plan
