--- a/fulmarseam/blocks/__init__.py
+++ b/fulmarseam/blocks/__init__.py
@@ -1,7 +1,7 @@
-"""The table of caller address blocks in compact arrays.
+"""Table of caller address blocks in compact arrays.
 
-A block in CIDR form belongs to one region; the longest block that holds an
-address decides::
+A block in CIDR notation belongs to one region. An address belongs to the
+region of the longest block that contains it::
 
     table = BlockTable()
     table.set('10.0.0.0/8', 'ost')
--- a/fulmarseam/blocks/_table.py
+++ b/fulmarseam/blocks/_table.py
@@ -1,9 +1,9 @@
-"""Blocks in sorted arrays, one pair of arrays for each prefix length.
+"""Blocks in sorted arrays, with a pair of arrays for each prefix length.
 
-A row takes 6 bytes for IPv4 and 10 bytes for IPv6, where a Python object
-for each row would take over 100 bytes. A change moves the tail of one
-array, so it needs no separate list of recent changes. IPv6 blocks longer
-than /64 are refused, which keeps a key within one machine word.
+A row takes 6 bytes for IPv4 and 10 bytes for IPv6, whereas a Python object
+for each row would take more than 100 bytes. A change moves the tail of one
+pair of arrays, so no separate list of recent changes is needed. IPv6 blocks
+longer than /64 are rejected, so that a key fits into one machine word.
 """
 
 from array import array
@@ -21,7 +21,7 @@
 IPV4 = 4
 IPV6 = 6
 IPV4_BITS = 32
-IPV6_BITS = 64
+IPV6_KEY_BITS = 64
 MAX_REGIONS = 65_536
 
 _Network = ipaddress.IPv4Network | ipaddress.IPv6Network
@@ -49,20 +49,20 @@
     __slots__ = ('keys', 'regions', 'shift')
 
     def __init__(self, version: int, length: int) -> None:
-        bits = IPV4_BITS if version == IPV4 else IPV6_BITS
+        bits = IPV4_BITS if version == IPV4 else IPV6_KEY_BITS
         self.shift = bits - length
         self.keys = array('I' if version == IPV4 else 'Q')
         self.regions = array('H')
 
     def find(self, key: int) -> int | None:
-        """Return the region index of the network with this key."""
+        """Return the region index of the network with `key`, if any."""
         position = bisect.bisect_left(self.keys, key)
         if position < len(self.keys) and self.keys[position] == key:
             return self.regions[position]
         return None
 
     def set(self, key: int, region: int) -> bool:
-        """Set the region of a network; return whether it is new."""
+        """Set the region of a network; return whether it was added."""
         position = bisect.bisect_left(self.keys, key)
         if position < len(self.keys) and self.keys[position] == key:
             self.regions[position] = region
@@ -72,7 +72,7 @@
         return True
 
     def remove(self, key: int) -> bool:
-        """Remove a network; return whether it was there."""
+        """Remove a network; return whether it existed."""
         position = bisect.bisect_left(self.keys, key)
         if position == len(self.keys) or self.keys[position] != key:
             return False
@@ -81,7 +81,7 @@
         return True
 
     def load(self, rows: Iterable[tuple[int, int]]) -> None:
-        """Replace the contents; the last row with a key counts."""
+        """Replace all rows; the last row of each key applies."""
         latest = dict(rows)
         keys = numpy.fromiter(latest.keys(), self.keys.typecode, len(latest))
         regions = numpy.fromiter(latest.values(), 'H', len(latest))
@@ -91,11 +91,11 @@
 
 
 class BlockTable:
-    """A map from address blocks to regions with longest prefix match."""
+    """Map from address blocks to regions with longest prefix match."""
 
     def __init__(self) -> None:
         self._columns: dict[tuple[int, int], _Column] = {}
-        self._search: dict[int, list[_Column]] = {IPV4: [], IPV6: []}
+        self._search_order: dict[int, list[_Column]] = {IPV4: [], IPV6: []}
         self._regions: list[ids.RegionName] = []
         self._region_index: dict[ids.RegionName, int] = {}
         self._size = 0
@@ -104,7 +104,7 @@
         return self._size
 
     def set(self, block: str, region: ids.RegionName) -> None:
-        """Assign a block in CIDR form to a region.
+        """Assign a block in CIDR notation to a region.
 
         Raises `ValueError` when the block is not valid.
         """
@@ -114,7 +114,7 @@
             self._size += 1
 
     def remove(self, block: str) -> bool:
-        """Remove a block; return whether it was there.
+        """Remove a block; return whether it existed.
 
         Raises `ValueError` when the block is not valid.
         """
@@ -126,7 +126,7 @@
         return True
 
     def get(self, block: str) -> ids.RegionName | None:
-        """Return the region of exactly this block."""
+        """Return the region of exactly this block, if it has one."""
         network = parse_block(block)
         column = self._columns.get((network.version, network.prefixlen))
         if column is None:
@@ -135,9 +135,9 @@
         return None if region is None else self._regions[region]
 
     def find(self, address: str) -> ids.RegionName | None:
-        """Return the region of the longest block that holds an address.
+        """Return the region of the longest block that contains an address.
 
-        Raises `ValueError` when the address is no IP number.
+        Raises `ValueError` when the address is not an IP address.
         """
         parsed = ipaddress.ip_address(address)
         number = int(parsed)
@@ -145,11 +145,11 @@
             mapped = getattr(parsed, 'ipv4_mapped', None)
             if mapped is not None:
                 return self._find_number(IPV4, int(mapped))
-            number >>= IPV6_BITS
+            number >>= IPV6_KEY_BITS
         return self._find_number(parsed.version, number)
 
     def _find_number(self, version: int, number: int) -> ids.RegionName | None:
-        for column in self._search[version]:
+        for column in self._search_order[version]:
             key = number >> column.shift
             region = column.find(key)
             if region is not None:
@@ -165,29 +165,31 @@
         )
 
     def load(self, rows: Iterable[tuple[str, ids.RegionName]]) -> None:
-        """Replace the whole table; much faster than single changes.
+        """Replace the whole table, much faster than by single changes.
 
         Raises `ValueError` when a block is not valid.
         """
         parts: dict[tuple[int, int], list[tuple[int, int]]] = {}
-        fresh = BlockTable()
+        new_table = BlockTable()
         for block, region in rows:
             network = parse_block(block)
             part = parts.setdefault((network.version, network.prefixlen), [])
-            part.append((_make_key(network), fresh._get_region_index(region)))
+            part.append(
+                (_make_key(network), new_table._get_region_index(region))
+            )
         for (version, length), part in parts.items():
-            fresh._get_column(version, length).load(part)
-        self._replace(fresh)
+            new_table._get_column(version, length).load(part)
+        self._replace(new_table)
 
     def items(self) -> Iterator[tuple[str, ids.RegionName]]:
-        """Yield all blocks in CIDR form with their regions."""
+        """Yield all blocks in CIDR notation with their regions."""
         for (version, length), column in sorted(self._columns.items()):
             for key, region in zip(column.keys, column.regions, strict=True):
                 block = _format_block(version, length, key << column.shift)
                 yield block, self._regions[region]
 
     def dump(self) -> bytes:
-        """Return the whole table in compact form."""
+        """Serialize the whole table in compact form."""
         parts = [
             _Part(
                 version,
@@ -201,27 +203,27 @@
         return msgspec.msgpack.encode(_Image(list(self._regions), parts))
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole table with what `dump` returned.
+        """Replace the whole table with the output of `dump`.
 
-        Raises `ValueError` when the data is damaged; the table then keeps
-        its contents.
+        Raises `ValueError` and leaves the table unchanged when the data is
+        damaged.
         """
         image = msgspec.msgpack.decode(data, type=_Image)
-        fresh = BlockTable()
+        new_table = BlockTable()
         for region in image.regions:
-            fresh._get_region_index(ids.RegionName(region))
+            new_table._get_region_index(ids.RegionName(region))
         for part in image.parts:
-            column = fresh._get_column(part.version, part.length)
+            column = new_table._get_column(part.version, part.length)
             column.keys = _from_little_endian(column.keys.typecode, part.keys)
             column.regions = _from_little_endian('H', part.regions)
-            _check_column(column, len(image.regions))
-        self._replace(fresh)
-
-    def _replace(self, fresh: 'BlockTable') -> None:
-        self._columns = fresh._columns
-        self._search = fresh._search
-        self._regions = fresh._regions
-        self._region_index = fresh._region_index
+            _validate_column(column, len(image.regions))
+        self._replace(new_table)
+
+    def _replace(self, new_table: 'BlockTable') -> None:
+        self._columns = new_table._columns
+        self._search_order = new_table._search_order
+        self._regions = new_table._regions
+        self._region_index = new_table._region_index
         self._size = sum(len(column.keys) for column in self._columns.values())
 
     def _get_column(self, version: int, length: int) -> _Column:
@@ -229,7 +231,7 @@
         if column is None:
             column = _Column(version, length)
             self._columns[version, length] = column
-            self._search[version] = [
+            self._search_order[version] = [
                 self._columns[key]
                 for key in sorted(self._columns, reverse=True)
                 if key[0] == version
@@ -252,11 +254,11 @@
 def parse_block(block: str) -> _Network:
     """Return the network that a CIDR block names.
 
-    Raises `ValueError` for host bits that are set and for IPv6 blocks
+    Raises `ValueError` for a block with host bits set and for an IPv6 block
     longer than /64.
     """
     network = ipaddress.ip_network(block)
-    if network.version == IPV6 and network.prefixlen > IPV6_BITS:
+    if network.version == IPV6 and network.prefixlen > IPV6_KEY_BITS:
         raise ValueError(f'found {block}, expected an IPv6 block up to /64')
     return network
 
@@ -264,15 +266,15 @@
 def _make_key(network: _Network) -> int:
     number = int(network.network_address)
     if network.version == IPV6:
-        number >>= IPV6_BITS
-        return number >> (IPV6_BITS - network.prefixlen)
+        number >>= IPV6_KEY_BITS
+        return number >> (IPV6_KEY_BITS - network.prefixlen)
     return number >> (IPV4_BITS - network.prefixlen)
 
 
 def _format_block(version: int, length: int, number: int) -> str:
     if version == IPV4:
         return f'{ipaddress.IPv4Address(number)}/{length}'
-    return f'{ipaddress.IPv6Address(number << IPV6_BITS)}/{length}'
+    return f'{ipaddress.IPv6Address(number << IPV6_KEY_BITS)}/{length}'
 
 
 def _to_little_endian(values: 'array[int]') -> bytes:
@@ -291,13 +293,17 @@
     return values
 
 
-def _check_column(column: _Column, region_count: int) -> None:
+def _validate_column(column: _Column, region_count: int) -> None:
     if len(column.keys) != len(column.regions):
-        raise ValueError('found a block table with columns of two lengths')
+        raise ValueError(
+            'found a block table whose keys and regions differ in length'
+        )
     if not column.keys:
         return
     keys = numpy.asarray(column.keys)
     if bool(numpy.any(keys[1:] <= keys[:-1])):
-        raise ValueError('found a block table that is not sorted')
+        raise ValueError('found a block table whose keys are not sorted')
     if max(column.regions) >= region_count:
-        raise ValueError('found a block of a region that is not listed')
+        raise ValueError(
+            'found a block whose region is not in the list of regions'
+        )
