--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -1,9 +1,9 @@
 """Decisions on grants, targets, shifts, queues, retries and quarantine.
 
-Nothing here uses a socket, a clock or a random source: `now` is in
-monotonic seconds of the process that owns the state, and `rng` is an
-argument. The control leader owns one `Allocator` for each term it leads; an
-entry owns the other tables.
+Nothing in this package uses a socket, a clock or a random source: `now` is
+the monotonic time, in seconds, of the process that owns the state, and `rng`
+is an argument. The control leader owns one `Allocator` for each term that it
+leads; an entry owns the other objects.
 """
 
 from fulmarseam.steering._affinity import compute_region_shares
@@ -35,8 +35,8 @@
 from fulmarseam.steering._observed import note_report
 from fulmarseam.steering._observed import note_start
 from fulmarseam.steering._observed import ObservedTarget
-from fulmarseam.steering._outcomes import Judgement
 from fulmarseam.steering._outcomes import OutcomeTable
+from fulmarseam.steering._outcomes import Outliers
 from fulmarseam.steering._placement import place_request
 from fulmarseam.steering._placement import Placement
 from fulmarseam.steering._placement import SlotAvailability
@@ -66,7 +66,7 @@
     'Choice',
     'ColdRateLimit',
     'Grants',
-    'Judgement',
+    'Outliers',
     'LinkTokens',
     'ObservedTarget',
     'OutcomeTable',
--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -14,23 +14,25 @@
 from fulmarseam.steering import _outcomes
 from fulmarseam.steering import _slots
 
-# Own outcomes count as much as no knowledge once there are this many.
+# Number of own outcomes on a target at which its measured latency weighs as
+# much as the default, which is the pool's median.
 HALF_CONFIDENCE_COUNT = 3.0
-# A slow target costs at most this multiple of the pool's median latency.
+# Largest latency that counts, as a multiple of the pool's median latency.
 MAX_LATENCY_RATIO = 4.0
-# Load that is assumed when no target of the pool reports any.
+# Load assumed when no target of the pool reports any, as a share of its slots.
 DEFAULT_LOAD = 0.5
 FAILURE_WEIGHT = 2.0
-# Reports may be wrong, so the widest gap between two of them weighs less
-# than the gap between a free and a full share of slots.
-REPORT_WEIGHT = 0.3
+# Reports may be wrong, so the largest difference between two reported loads
+# weighs less than the difference between free slots and full use of them.
+REPORTED_LOAD_WEIGHT = 0.3
 MIN_USE_WEIGHT = 0.25
-# Equal targets are chosen at random, or all entries would choose alike.
-NOISE = 0.05
+# Upper bound of a random cost. Without it, all entries would choose the same
+# one of several equal targets.
+MAX_RANDOM_COST = 0.05
 
 
 class Random(Protocol):
-    """The part of `random.Random` that the choice uses."""
+    """Random source, such as `random.Random`."""
 
     def random(self) -> float:
         """Return a number from 0.0 up to but not including 1.0."""
@@ -38,18 +40,18 @@
 
 
 class Locality(NamedTuple):
-    """Where an entry or a target runs."""
+    """Region and failure domain of an entry or a target."""
 
     region: ids.RegionName
     domain: ids.DomainName
 
 
 class Choice(NamedTuple):
-    """A target for a request.
+    """The target chosen for a request.
 
-    The slot is not taken yet; `SlotTracker.try_acquire` follows. With
-    `is_remote` the request also needs `ShiftLimiter.try_acquire` and tokens
-    of the links.
+    The caller must still acquire the slot with `SlotTracker.try_acquire`.
+    If `is_remote` is set, the request also needs `ShiftLimiter.try_acquire`
+    and tokens of the links.
     """
 
     target: ids.TargetId
@@ -70,14 +72,14 @@
 
 
 class PoolView:
-    """The targets of a pool as seen from an entry's place.
+    """The targets of a pool as seen from an entry's locality.
 
-    `refresh` takes what changes slowly (rows, reported load, outcomes) and
-    is called when the mirror changes and about every 100 ms::
+    `refresh` reads the inputs that change slowly (rows, reported load,
+    outcomes). Call it when the mirror changes and about every 100 ms::
 
-        view = PoolView(pool, Place(region, domain))
+        view = PoolView(pool, Locality(region, domain))
         view.refresh(now, mirror.ready(), outcomes)
-        choice = choose_target(view, now, book, rng)
+        choice = choose_target(view, now, slots, rng)
     """
 
     def __init__(self, pool: wire.Pool, locality: Locality) -> None:
@@ -85,9 +87,9 @@
         self.locality = locality
         self.use_weight = max(MIN_USE_WEIGHT, 1.0 - pool.latency_weight)
         self.doubtful: frozenset[ids.TargetId] = frozenset()
-        self._domain: list[_Candidate] = []
-        self._region: list[_Candidate] = []
-        self._remote: dict[ids.RegionName, list[_Candidate]] = {}
+        self._same_domain: list[_Candidate] = []
+        self._same_region: list[_Candidate] = []
+        self._other_regions: dict[ids.RegionName, list[_Candidate]] = {}
 
     def refresh(
         self,
@@ -95,18 +97,18 @@
         targets: Iterable[membership.MirroredTarget],
         outcomes: _outcomes.OutcomeTable,
     ) -> None:
-        """Take the ready targets; those of other pools are left out."""
+        """Update the view from the ready targets; ignores other pools."""
         rows = [row for row in targets if row.report.pool == self.pool.name]
-        names = [row.report.target for row in rows]
-        judgement = outcomes.judge(now, names)
-        self.doubtful = judgement.ejected | judgement.doubtful
-        if judgement.is_suspect:
-            costs = dict.fromkeys(names, 0.0)
+        target_ids = [row.report.target for row in rows]
+        outliers = outcomes.detect_outliers(now, target_ids)
+        self.doubtful = outliers.ejected | outliers.doubtful
+        if outliers.is_inconclusive:
+            costs = dict.fromkeys(target_ids, 0.0)
         else:
             costs = _estimate_costs(now, self.pool, rows, outcomes)
-        self._domain = []
-        self._region = []
-        self._remote = {}
+        self._same_domain = []
+        self._same_region = []
+        self._other_regions = {}
         for row in rows:
             name = row.report.target
             candidate = _Candidate(
@@ -115,38 +117,38 @@
                 region=row.report.region,
                 domain=row.report.failure_domain,
                 cost=costs[name],
-                is_ejected=name in judgement.ejected,
-                is_doubtful=name in judgement.doubtful,
+                is_ejected=name in outliers.ejected,
+                is_doubtful=name in outliers.doubtful,
             )
-            self._group_of(candidate).append(candidate)
+            self._get_group(candidate).append(candidate)
 
-    def tiers(
+    def iterate_tiers(
         self,
         preferred_region: ids.RegionName | None,
         blocked_regions: Collection[ids.RegionName],
     ) -> Iterator[list[_Candidate]]:
-        """Yield the groups of candidates in the order of choice."""
+        """Yield the groups of candidates in order of preference."""
         if (
             preferred_region is not None
             and preferred_region not in blocked_regions
         ):
-            yield self._remote.get(preferred_region, [])
-        yield self._domain
-        yield self._region
+            yield self._other_regions.get(preferred_region, [])
+        yield self._same_domain
+        yield self._same_region
         if not self.pool.local_only:
             yield [
                 candidate
-                for region, group in self._remote.items()
+                for region, group in self._other_regions.items()
                 if region not in blocked_regions
                 for candidate in group
             ]
 
-    def _group_of(self, candidate: _Candidate) -> list[_Candidate]:
+    def _get_group(self, candidate: _Candidate) -> list[_Candidate]:
         if candidate.region != self.locality.region:
-            return self._remote.setdefault(candidate.region, [])
+            return self._other_regions.setdefault(candidate.region, [])
         if candidate.domain == self.locality.domain:
-            return self._domain
-        return self._region
+            return self._same_domain
+        return self._same_region
 
 
 def choose_target(
@@ -160,16 +162,16 @@
 ) -> Choice | None:
     """Return the target for a request, or None when no slot is free.
 
-    The order is: `preferred_region` (the destination of a shift with
-    credit), the own failure domain, the own region, other regions that are
-    not among `blocked_regions` (no link tokens or no shift credit).
+    Targets are searched in this order: `preferred_region` (the destination
+    of a shift with credit), the own failure domain, the own region, other
+    regions except `blocked_regions` (no link tokens or no shift credit).
     `avoided_targets` lists targets that this request has tried or that run a
-    suspect. A doubtful target is chosen only when no good one has a free
-    slot, in any group, and an ejected one only when no other has.
+    suspect. A doubtful target is chosen only if no healthy target of any
+    group has a free slot, and an ejected one only if no other target has.
     """
     doubtful: _Candidate | None = None
     last_resort: _Candidate | None = None
-    for tier in view.tiers(preferred_region, blocked_regions):
+    for tier in view.iterate_tiers(preferred_region, blocked_regions):
         best: _Candidate | None = None
         best_cost = float('inf')
         for candidate in tier:
@@ -185,17 +187,17 @@
                 continue
             use = (in_flight + 1) / allowance
             cost = candidate.cost + view.use_weight * use
-            cost += NOISE * rng.random()
+            cost += MAX_RANDOM_COST * rng.random()
             if cost < best_cost:
                 best = candidate
                 best_cost = cost
         if best is not None:
-            return _to_choice(view, best)
+            return _make_choice(view, best)
     last_resort = doubtful or last_resort
-    return None if last_resort is None else _to_choice(view, last_resort)
+    return None if last_resort is None else _make_choice(view, last_resort)
 
 
-def _to_choice(view: PoolView, candidate: _Candidate) -> Choice:
+def _make_choice(view: PoolView, candidate: _Candidate) -> Choice:
     return Choice(
         candidate.target,
         candidate.address,
@@ -210,23 +212,29 @@
     rows: Collection[membership.MirroredTarget],
     outcomes: _outcomes.OutcomeTable,
 ) -> dict[ids.TargetId, float]:
-    """Return the part of the cost that does not depend on slots in use."""
+    """Return the share of the cost that does not depend on slots in use."""
     loads = _estimate_loads(now, rows)
-    seen = {
+    outcomes_by_target = {
         row.report.target: outcomes.get(now, row.report.target) for row in rows
     }
-    latencies = [row.latency_s for row in seen.values() if row.latency_s > 0]
+    latencies = [
+        row.latency_s
+        for row in outcomes_by_target.values()
+        if row.latency_s > 0
+    ]
     median = statistics.median(latencies) if latencies else 0.0
     costs: dict[ids.TargetId, float] = {}
-    for target, own in seen.items():
-        confidence = own.weight / (own.weight + HALF_CONFIDENCE_COUNT)
+    for target, outcome in outcomes_by_target.items():
+        confidence = outcome.count / (outcome.count + HALF_CONFIDENCE_COUNT)
         ratio = 1.0
-        if median > 0.0 and own.latency_s > 0.0:
-            ratio = min(MAX_LATENCY_RATIO, own.latency_s / median)
+        if median > 0.0 and outcome.latency_s > 0.0:
+            ratio = min(MAX_LATENCY_RATIO, outcome.latency_s / median)
         latency = confidence * ratio + (1.0 - confidence)
-        report = REPORT_WEIGHT * (1.0 - confidence / 2.0) * loads[target]
-        failure = FAILURE_WEIGHT * own.failure
-        costs[target] = pool.latency_weight * latency + report + failure
+        report = (
+            REPORTED_LOAD_WEIGHT * (1.0 - confidence / 2.0) * loads[target]
+        )
+        failure_cost = FAILURE_WEIGHT * outcome.failure_share
+        costs[target] = pool.latency_weight * latency + report + failure_cost
     return costs
 
 
@@ -235,8 +243,9 @@
 ) -> dict[ids.TargetId, float]:
     """Return the load of targets as a share of their slots, at most 1.
 
-    Trust in a report halves with each second of its age, in favour of the
-    pool's mean. A target without a report counts as the mean, never idle.
+    The weight of a report halves with each second of its age; the pool's
+    mean gets the remaining weight. A target without a report is assumed to
+    have the mean load, not to be idle.
     """
     reported: dict[ids.TargetId, tuple[float, float]] = {}
     for row in rows:
@@ -247,10 +256,13 @@
         busy = max(0, load.busy_slots) + max(0, load.queued)
         share = min(1.0, busy / max(1, row.report.slots))
         reported[row.report.target] = trust, share
-    weight = sum(trust for trust, _ in reported.values())
+    total_trust = sum(trust for trust, _ in reported.values())
     mean = DEFAULT_LOAD
-    if weight > 0.0:
-        mean = sum(t * share for t, share in reported.values()) / weight
+    if total_trust > 0.0:
+        mean = (
+            sum(trust * share for trust, share in reported.values())
+            / total_trust
+        )
     loads = {}
     for row in rows:
         trust, share = reported.get(row.report.target, (0.0, 0.0))
--- a/fulmarseam/steering/_lookups.py
+++ b/fulmarseam/steering/_lookups.py
@@ -1,4 +1,4 @@
-"""The order of entries in a look-up answer."""
+"""Order of entries in a look-up response."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -15,25 +15,28 @@
     caller: str = '',
     drained: Iterable[ids.EntryId] = (),
 ) -> list[wire.EntryInfo]:
-    """Return the entries a caller should use, best first.
+    """Return the entries that a caller should use, in order of preference.
 
-    Entries of `region` come first, alternating between its failure domains
-    so that the second choice survives the loss of the first one's domain;
-    then the other regions. Draining and dead entries are left out. `caller`
-    is any stable text of the caller: it spreads callers over equal entries.
+    Entries of `region` come first, then those of other regions. Within a
+    region, entries alternate between failure domains, so that the second
+    entry survives the loss of the first entry's domain. Draining and dead
+    entries are omitted. `caller` is any stable text that identifies the
+    caller; it spreads callers over equal entries.
     """
-    left_out = set(drained)
+    drained_entries = set(drained)
     usable = [
         row.info
         for row in rows
-        if row.alive and not row.draining and row.info.entry not in left_out
+        if row.alive
+        and not row.draining
+        and row.info.entry not in drained_entries
     ]
-    near = [info for info in usable if info.region == region]
-    far = [info for info in usable if info.region != region]
-    far_regions = sorted({info.region for info in far})
-    ordered = _alternate_domains(near, caller)
-    for name in _rotate(far_regions, caller):
-        group = [info for info in far if info.region == name]
+    local_entries = [info for info in usable if info.region == region]
+    remote_entries = [info for info in usable if info.region != region]
+    remote_regions = sorted({info.region for info in remote_entries})
+    ordered = _alternate_domains(local_entries, caller)
+    for name in _shuffle(remote_regions, caller):
+        group = [info for info in remote_entries if info.region == name]
         ordered.extend(_alternate_domains(group, caller))
     return ordered
 
@@ -41,21 +44,21 @@
 def _alternate_domains(
     entries: Sequence[wire.EntryInfo], caller: str
 ) -> list[wire.EntryInfo]:
-    """Return entries so that neighbours are in different domains."""
-    spread = sorted(entries, key=lambda info: _weigh(caller, info.entry))
+    """Return the entries in an order that alternates between domains."""
+    shuffled = sorted(entries, key=lambda info: _hash_pair(caller, info.entry))
     domains: dict[ids.DomainName, list[wire.EntryInfo]] = {}
-    for info in spread:
+    for info in shuffled:
         domains.setdefault(info.failure_domain, []).append(info)
-    rounds = itertools.zip_longest(*domains.values())
-    return [info for turn in rounds for info in turn if info is not None]
+    turns = itertools.zip_longest(*domains.values())
+    return [info for turn in turns for info in turn if info is not None]
 
 
-def _rotate(
+def _shuffle(
     names: Sequence[ids.RegionName], caller: str
 ) -> list[ids.RegionName]:
-    return sorted(names, key=lambda name: _weigh(caller, name))
+    return sorted(names, key=lambda name: _hash_pair(caller, name))
 
 
-def _weigh(caller: str, name: str) -> int:
-    """Return a stable number for a caller and a name."""
+def _hash_pair(caller: str, name: str) -> int:
+    """Return a stable hash of a caller and a name."""
     return zlib.crc32(f'{caller}|{name}'.encode())
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -1,7 +1,7 @@
-"""What an entry observes of the targets that it sends requests to.
+"""State of the targets as an entry observes it, without slot grants.
 
-No one shares out slots here: an entry estimates the load of a target from
-its own requests and from what the target reports with its answers.
+An entry estimates the load of a target from its own requests and from the
+reports that come with the target's responses.
 """
 
 from collections.abc import Collection
@@ -10,68 +10,72 @@
 from fulmarseam import ids
 from fulmarseam import wire
 
-# A report says how busy a target was when it answered. Its weight halves in
-# this time, as the requests it counted end within a few hundred ms.
+# Half-life of the weight of a load report. The report counts the requests at
+# the time of the response, which end within a few hundred ms.
 REPORT_HALF_LIFE_S = 0.4
-# A target that cannot be reached is left alone for the first time, and up
-# to the second one after further failures; silence lasts for seconds.
-EJECT_MIN_S = 0.5
-EJECT_MAX_S = 4.0
-# Weight of the newest outcome in the failure rate of a target.
+# An unreachable target is ejected for the minimum time first. The time grows
+# up to the maximum with further failures, as silence lasts for seconds.
+EJECTION_MIN_S = 0.5
+EJECTION_MAX_S = 4.0
+# Weight of the newest outcome in the moving average of a failure rate.
 OUTCOME_WEIGHT = 0.1
-# Above this failure rate a target is used only when no better one is free,
-# unless the others of its pool fail nearly as much: then another one is no
-# better, and only this one may remember the object of a request.
+# From this failure rate on, a target is used only if no better one is free.
+# Exempt is a target whose failure rate is below this multiple of the mean of
+# its pool: another target would fail about as often, and only the preferred
+# one may have the object of the request cached.
 DOUBTFUL_FAILURE_RATE = 0.25
-DOUBTFUL_FACTOR = 1.5
-# A target with requests is silent after this many of its mean service times
-# without any answer, and not before the shortest time.
+DOUBTFUL_POOL_RATE_FACTOR = 1.5
+# A target with requests in flight is silent after this many of its mean
+# service times without a response, and at the earliest after the minimum.
 SILENCE_SERVICE_TIMES = 5.0
 SILENCE_MIN_S = 0.6
-# Weight of the newest service time in the mean of a target, and the mean
-# assumed before the first answer, in seconds.
-SERVICE_WEIGHT = 0.1
-FIRST_SERVICE_S = 0.5
-# A run for an object that the target does not remember takes three to four
-# times the mean. Only after this many answers the mean tells a late answer
-# from a slow one.
-PATIENCE_SERVICE_TIMES = 6.0
-PATIENCE_MIN_S = 0.5
-PATIENCE_MIN_ANSWERS = 10
-# Part of an entry's share that is used; the rest covers requests whose
-# arrival a link delays into the next second.
-COLD_SHARE_USED = 0.8
-# Up to this share, in requests/s, an entry sends single requests, at this
-# part of the share: a second that holds one of them has used it up.
-SINGLE_SHARE = 1.5
-SINGLE_RATE = 0.5
+# Weight of the newest service time in the moving average of a target, and the
+# average assumed before the first response.
+SERVICE_TIME_WEIGHT = 0.1
+INITIAL_SERVICE_S = 0.5
+# Timeout of an attempt in mean service times of its target. A request for an
+# object that the target has not cached takes three to four times the mean.
+# The timeout applies only after this many responses, as the mean cannot tell
+# a late response from a slow one before.
+ATTEMPT_TIMEOUT_SERVICE_TIMES = 6.0
+ATTEMPT_TIMEOUT_MIN_S = 0.5
+ATTEMPT_TIMEOUT_MIN_RESPONSES = 10
+# Share of an entry's rate to a cold target that is used. The rest covers
+# requests that a link delays into the next second.
+COLD_RATE_USED_SHARE = 0.8
+# Up to this rate, in requests/s, an entry sends single requests, at this share
+# of the rate: one request already uses up the rate of a second.
+SINGLE_REQUEST_MAX_RATE = 1.5
+SINGLE_REQUEST_RATE_SHARE = 0.5
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class ObservedTarget:
-    """A target as one entry sees it; times in seconds.
-
-    `others` is the load by other entries as of `others_at`. While
-    `now < ejected_until` the target gets no requests, and while
-    `now < cold_until` only as many as `tokens` allow. `silent_since` is
-    when the oldest of the present requests started, or the last answer.
-    `token_offset` between 0 and 1 differs between entries, so that many
-    entries with a small share each do not use it in the same second.
+    """State of a target as one entry observes it; times in seconds.
+
+    `other_load` is the load by other entries as of `other_load_at`. While
+    `now < ejected_until`, the target gets no requests; while
+    `now < cold_until`, only as many as `tokens` allow. `failures` counts the
+    ejections since the last response, and `recovering` is set from an
+    ejection to the next response. `silent_since` is when the first of the
+    requests in flight started or when the last response came.
+    `token_offset`, between 0 and 1, differs between entries, so that many
+    entries with a low rate each do not all send in the same second.
     """
 
     record: wire.TargetRecord
     is_remote: bool
     in_flight: int = 0
-    others: float = 0.0
-    others_at: float = 0.0
+    other_load: float = 0.0
+    other_load_at: float = 0.0
     failures: int = 0
     ejected_until: float = 0.0
     failure_rate: float = 0.0
     cold_until: float = 0.0
     tokens: float = 0.0
     tokens_at: float = 0.0
-    service_s: float = FIRST_SERVICE_S
-    answers: int = 0
+    service_s: float = INITIAL_SERVICE_S
+    response_count: int = 0
     silent_since: float = 0.0
     token_offset: float = 0.0
     recovering: bool = False
@@ -83,29 +87,29 @@
 
 
 def estimate_load(target: ObservedTarget, now: float) -> float:
-    """Return the requests that run or wait at a target, as estimated."""
-    age = now - target.others_at
-    others: float = target.others * 0.5 ** (age / REPORT_HALF_LIFE_S)
-    return target.in_flight + others
+    """Return the estimated number of running and queued requests."""
+    age = now - target.other_load_at
+    other_load: float = target.other_load * 0.5 ** (age / REPORT_HALF_LIFE_S)
+    return target.in_flight + other_load
 
 
 def note_start(target: ObservedTarget, now: float) -> None:
-    """Count a request that is given to a target."""
+    """Count a request that is sent to a target."""
     if not target.in_flight:
         target.silent_since = now
     target.in_flight += 1
 
 
 def note_end(target: ObservedTarget) -> None:
-    """Count the end of a request, however it ended."""
+    """Count the end of a request, whatever its outcome."""
     target.in_flight -= 1
 
 
 def is_silent(target: ObservedTarget, now: float) -> bool:
-    """Return whether a target answers nothing although it should.
+    """Return whether the responses of a target are overdue.
 
-    A host without power or behind a partition resets no connection, so
-    requests on open connections only stay without answers.
+    A host that lost power or is behind a network partition resets no
+    connection, so requests on open connections just get no response.
     """
     if not target.in_flight:
         return False
@@ -116,115 +120,124 @@
 def compute_attempt_timeout(
     target: ObservedTarget, time_left_s: float
 ) -> float:
-    """Return how long to wait for an answer that another target may give.
+    """Return the time after which to try another target instead.
 
-    The time left is waited for in full where it would not be enough for
-    another attempt.
+    This is all of the time left if it does not allow another attempt.
     """
-    if target.answers < PATIENCE_MIN_ANSWERS:
+    if target.response_count < ATTEMPT_TIMEOUT_MIN_RESPONSES:
         return time_left_s
-    patience_s = max(PATIENCE_MIN_S, PATIENCE_SERVICE_TIMES * target.service_s)
-    if time_left_s - patience_s < patience_s:
+    timeout_s = max(
+        ATTEMPT_TIMEOUT_MIN_S, ATTEMPT_TIMEOUT_SERVICE_TIMES * target.service_s
+    )
+    if time_left_s - timeout_s < timeout_s:
         return time_left_s
-    return patience_s
+    return timeout_s
 
 
 def note_report(
     target: ObservedTarget, now: float, running: int, waiting: int
 ) -> None:
-    """Take the load that a target reported with an answer."""
-    target.others = float(max(0, running + waiting - target.in_flight))
-    target.others_at = now
+    """Record the load that a target reported with a response."""
+    target.other_load = float(max(0, running + waiting - target.in_flight))
+    target.other_load_at = now
 
 
 def note_answer(
     target: ObservedTarget, now: float, service_s: float, cold_s: float
 ) -> None:
-    """Count a full answer after `service_s`.
+    """Record a complete response after `service_s`.
 
-    A target that answers again after it had been ejected may have
-    restarted, so it is treated as cold for `cold_s`.
+    A target that responds again after an ejection may have restarted, so it
+    is treated as cold for `cold_s`.
     """
     if target.recovering:
         mark_cold(target, now, cold_s)
         target.recovering = False
-    target.answers += 1
+    target.response_count += 1
     target.silent_since = now
     target.failures = 0
     target.ejected_until = 0.0
     target.failure_rate -= OUTCOME_WEIGHT * target.failure_rate
-    target.service_s += SERVICE_WEIGHT * (service_s - target.service_s)
+    target.service_s += SERVICE_TIME_WEIGHT * (service_s - target.service_s)
 
 
 def note_failure(target: ObservedTarget) -> None:
-    """Count a request that the target refused or failed by itself."""
+    """Record a request that the target refused or failed."""
     target.failure_rate += OUTCOME_WEIGHT * (1.0 - target.failure_rate)
 
 
 def eject(target: ObservedTarget, now: float) -> None:
-    """Keep away from a target that cannot be reached or is silent."""
+    """Eject a target that is unreachable or silent."""
     note_failure(target)
     if not is_cold(target, now):
         _reset_tokens(target, now)
     target.recovering = True
     if now < target.ejected_until:
         return
-    pause_s = min(EJECT_MIN_S * 2**target.failures, EJECT_MAX_S)
+    pause_s = min(EJECTION_MIN_S * 2**target.failures, EJECTION_MAX_S)
     target.failures += 1
     target.ejected_until = now + pause_s
 
 
 def is_ejected(target: ObservedTarget, now: float) -> bool:
-    """Return whether requests keep away from a target."""
+    """Return whether a target gets no requests."""
     return now < target.ejected_until or is_silent(target, now)
 
 
-def is_doubtful(target: ObservedTarget, pool_rate: float) -> bool:
-    """Return whether a target fails more requests than others do.
+def is_doubtful(target: ObservedTarget, pool_failure_rate: float) -> bool:
+    """Return whether a target fails more requests than its pool.
 
-    `pool_rate` is the mean failure rate of its pool.
+    `pool_failure_rate` is the mean failure rate of the pool.
     """
-    bound = max(DOUBTFUL_FAILURE_RATE, DOUBTFUL_FACTOR * pool_rate)
-    return target.failure_rate >= bound
+    threshold = max(
+        DOUBTFUL_FAILURE_RATE, DOUBTFUL_POOL_RATE_FACTOR * pool_failure_rate
+    )
+    return target.failure_rate >= threshold
 
 
 def compute_mean_failure_rate(targets: Collection[ObservedTarget]) -> float:
     """Return the mean failure rate of the targets of a pool."""
     if not targets:
         return 0.0
-    return sum(item.failure_rate for item in targets) / len(targets)
+    return sum(target.failure_rate for target in targets) / len(targets)
 
 
 @dataclasses.dataclass(frozen=True)
 class ColdRateLimit:
-    """What all entries together may send to a cold target in a second."""
+    """Limit of the requests/s of all entries to a cold target.
+
+    The limit is `factor` x the target's cold rate + `slack`.
+    """
 
     factor: float
     slack: float
 
     def compute_sender_rate(self, cold_per_s: float, senders: int) -> float:
-        """Return the part of one of `senders` entries, in requests/s."""
+        """Return the rate of one of `senders` entries, in requests/s."""
         return (cold_per_s * self.factor + self.slack) / max(1, senders)
 
 
-def refill(target: ObservedTarget, now: float, share: float) -> None:
+def _refill_tokens(
+    target: ObservedTarget, now: float, sender_rate: float
+) -> None:
     """Add the tokens of a cold target since the last call.
 
-    The burst and the rate add up to the used share in any second. A share
-    that a burst of one would use up is spread by a lower rate instead.
+    In any second, the burst and the refill rate add up to the used rate. If
+    a burst of one request would use up that rate, the refill rate is reduced
+    instead.
     """
-    used = share * COLD_SHARE_USED
-    burst = min(1.0, used)
-    rate = used - burst
-    if used <= SINGLE_SHARE:
-        rate = used * SINGLE_RATE
+    used_rate = sender_rate * COLD_RATE_USED_SHARE
+    burst = min(1.0, used_rate)
+    rate = used_rate - burst
+    if used_rate <= SINGLE_REQUEST_MAX_RATE:
+        rate = used_rate * SINGLE_REQUEST_RATE_SHARE
     elapsed = now - target.tokens_at
     target.tokens = min(burst, target.tokens + elapsed * rate)
     target.tokens_at = now
 
 
 def mark_cold(target: ObservedTarget, now: float, cold_s: float) -> None:
-    """Treat a target as cold for some time from now on."""
+    """Treat a target as cold for `cold_s` from now on."""
     if not is_cold(target, now):
         _reset_tokens(target, now)
     target.cold_until = max(target.cold_until, now + cold_s)
@@ -236,16 +249,16 @@
 
 
 def is_cold(target: ObservedTarget, now: float) -> bool:
-    """Return whether only a bounded rate may be sent to a target.
+    """Return whether the request rate to a target is limited.
 
-    One that is tried again after a failure counts as cold.
+    A target that is tried again after an ejection also counts as cold.
     """
     return target.recovering or now < target.cold_until
 
 
-def may_send(target: ObservedTarget, now: float, share: float) -> bool:
+def may_send(target: ObservedTarget, now: float, sender_rate: float) -> bool:
     """Return whether a cold target may get one more request."""
     if not is_cold(target, now):
         return True
-    refill(target, now, share)
-    return target.tokens >= min(1.0, share * COLD_SHARE_USED)
+    _refill_tokens(target, now, sender_rate)
+    return target.tokens >= min(1.0, sender_rate * COLD_RATE_USED_SHARE)
--- a/fulmarseam/steering/_placement.py
+++ b/fulmarseam/steering/_placement.py
@@ -1,4 +1,4 @@
-"""Choice of a target by an entry that only observes the targets."""
+"""Choice of a target without slot grants, from observed state only."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -7,20 +7,20 @@
 
 from fulmarseam.steering import _observed
 
-# The queue that a target may have, in rounds of its slots, by priority:
-# what matters most may wait longest, so it is refused last.
-QUEUE_ROUNDS = (2.0, 1.5, 1.0)
+# Longest queue of a target, in rounds of its slots, by priority. Requests of
+# the highest priority may wait longest, so they are refused last.
+MAX_QUEUE_ROUNDS = (2.0, 1.5, 1.0)
 # Queue, in rounds of the slots, that a request for an object accepts at the
-# target that remembers the object rather than be run unprepared by another
-# one, which takes three to four times as long and so adds to an overload.
-UNPREPARED_ROUNDS = 1.0
-# An attempt is not started when the expected time is above this part of
-# the time left.
-TIME_USED = 0.9
+# target that has the object cached. Any other target takes three to four
+# times as long for the request and so adds to an overload.
+UNCACHED_COST_ROUNDS = 1.0
+# An attempt is not started if its expected time exceeds this share of the
+# time left.
+MAX_TIME_LEFT_SHARE = 0.9
 
 
 class SlotAvailability(enum.Enum):
-    """How much room the chosen target has."""
+    """Whether the chosen target has a free slot, only a queue, or neither."""
 
     FREE = 'free'
     QUEUE = 'queue'
@@ -28,7 +28,7 @@
 
 
 class Placement(NamedTuple):
-    """The target for an attempt, or None when no one has room."""
+    """The target for an attempt, or None if no target can take it."""
 
     target: _observed.ObservedTarget | None
     availability: SlotAvailability
@@ -48,52 +48,55 @@
 ) -> Placement:
     """Return the target of an attempt.
 
-    `targets` are in the order of preference. Without `max_choices` the first
-    free one is taken. With them a request concerns an object, of the
-    targets that can be used only the first `max_choices` count, and one that
-    is less preferred, and so does not remember the object, counts as if
-    its queue were longer by `UNPREPARED_ROUNDS`. A free target that fails
-    far more requests than its pool comes after sound ones that are free, or
-    for an object after those with a queue of up to as many rounds.
+    `targets` are in order of preference. Without `max_choices`, the first
+    free target is chosen. `max_choices` is set for a request that concerns
+    an object: only that many usable targets are considered, and each step
+    down in preference costs as much as `UNCACHED_COST_ROUNDS` of queue,
+    since a less preferred target does not have the object cached. A doubtful
+    target is chosen only if it is free and no sound target is free, or, for
+    an object, none has a queue of at most `UNCACHED_COST_ROUNDS`.
     """
-    sound = 0
+    sound_count = 0
     doubtful: _observed.ObservedTarget | None = None
     best: _observed.ObservedTarget | None = None
     best_wait = best_cost = 0.0
-    for item in targets:
-        if _observed.is_ejected(item, now) or not may_send(item):
+    for target in targets:
+        if _observed.is_ejected(target, now) or not may_send(target):
             continue
-        if sound == max_choices:
+        if sound_count == max_choices:
             break
-        wait = _estimate_wait(item, now)
-        if _observed.is_doubtful(item, pool_failure_rate):
+        wait = _estimate_wait(target, now)
+        if _observed.is_doubtful(target, pool_failure_rate):
             if not wait and doubtful is None:
-                doubtful = item
+                doubtful = target
             continue
         cost = wait
         if max_choices is not None:
-            cost += sound * UNPREPARED_ROUNDS
-        sound += 1
+            cost += sound_count * UNCACHED_COST_ROUNDS
+        sound_count += 1
         if not cost:
-            return Placement(item, SlotAvailability.FREE)
+            return Placement(target, SlotAvailability.FREE)
         if best is None or cost < best_cost:
-            best, best_wait, best_cost = item, wait, cost
-    patience = UNPREPARED_ROUNDS if max_choices is not None else 0.0
-    if doubtful is not None and (best is None or best_wait > patience):
+            best, best_wait, best_cost = target, wait, cost
+    max_wait = UNCACHED_COST_ROUNDS if max_choices is not None else 0.0
+    if doubtful is not None and (best is None or best_wait > max_wait):
         return Placement(doubtful, SlotAvailability.FREE)
     if best is None:
         return Placement(None, SlotAvailability.NONE)
     if not best_wait:
         return Placement(best, SlotAvailability.FREE)
-    rounds = QUEUE_ROUNDS[min(priority, len(QUEUE_ROUNDS) - 1)]
+    max_rounds = MAX_QUEUE_ROUNDS[min(priority, len(MAX_QUEUE_ROUNDS) - 1)]
     expected_s = (best_wait + 1.0) * best.service_s
-    if best_wait > rounds or expected_s > time_left_s * TIME_USED:
+    if (
+        best_wait > max_rounds
+        or expected_s > time_left_s * MAX_TIME_LEFT_SHARE
+    ):
         return Placement(None, SlotAvailability.NONE)
     return Placement(best, SlotAvailability.QUEUE)
 
 
-def _estimate_wait(item: _observed.ObservedTarget, now: float) -> float:
-    """Return the queue before one more request, in rounds of all slots."""
-    slots = item.record.slots
-    load = _observed.estimate_load(item, now)
+def _estimate_wait(target: _observed.ObservedTarget, now: float) -> float:
+    """Return the queue ahead of a new request, in rounds of all slots."""
+    slots = target.record.slots
+    load = _observed.estimate_load(target, now)
     return max(0.0, (load + 1.0 - slots) / slots)
--- a/fulmarseam/steering/_queue.py
+++ b/fulmarseam/steering/_queue.py
@@ -1,4 +1,4 @@
-"""The queue of requests that wait for a slot of a pool."""
+"""Queue of requests that wait for a slot of a pool."""
 
 import dataclasses
 import heapq
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Ticket(Generic[T]):
-    """A waiting request; `deadline` is in monotonic seconds."""
+    """A queued request; `deadline` is a monotonic time in seconds."""
 
     item: T
     priority: int
@@ -23,11 +23,11 @@
 
 
 class Admission(NamedTuple, Generic[T]):
-    """The result of `push`.
+    """Result of `RequestQueue.push`.
 
-    `ticket` is None when the request is refused with `kind`. `evicted` is a
-    request of less priority that had to make room; its kind is
-    `queue_full`.
+    `ticket` is None if the request is refused, for the reason `kind`.
+    `evicted` is a request of lower priority that was removed in favour of
+    the new one; it is refused as `queue_full`.
     """
 
     ticket: Ticket[T] | None
@@ -36,20 +36,21 @@
 
 
 class RequestQueue(Generic[T]):
-    """A bounded queue, ordered by priority, then deadline.
+    """Bounded queue, ordered by priority, then deadline.
 
     Priority 0 is served first. `service_s` is the recent median service
-    time of the pool; what cannot finish in time is refused.
+    time of the pool. Requests that cannot finish before their deadline are
+    refused.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._heap: list[tuple[int, float, int, Ticket[T]]] = []
-        self._numbers = itertools.count()
-        self._waiting = 0
+        self._sequence = itertools.count()
+        self._waiting_count = 0
 
     def __len__(self) -> int:
-        return self._waiting
+        return self._waiting_count
 
     def push(
         self,
@@ -59,74 +60,78 @@
         deadline: float,
         service_s: float,
     ) -> Admission[T]:
-        """Queue a request or say why it is refused."""
+        """Queue a request or return why it is refused."""
         if now + service_s > deadline:
             return Admission(None, errors.ErrorKind.DEADLINE_UNREACHABLE)
         evicted = None
-        if self._waiting >= self.limit:
+        if self._waiting_count >= self.limit:
             evicted = self._evict(priority, deadline)
             if evicted is None:
                 return Admission(None, errors.ErrorKind.QUEUE_FULL)
         ticket = Ticket(item, priority, deadline)
-        number = next(self._numbers)
-        heapq.heappush(self._heap, (priority, deadline, number, ticket))
-        self._waiting += 1
+        sequence = next(self._sequence)
+        heapq.heappush(self._heap, (priority, deadline, sequence, ticket))
+        self._waiting_count += 1
         return Admission(ticket, None, evicted)
 
     def pop(self) -> Ticket[T] | None:
-        """Return the next request, or None when the queue is empty."""
+        """Remove and return the next request, or None if there is none."""
         while self._heap:
             ticket = heapq.heappop(self._heap)[3]
             if ticket.waiting:
-                self._leave(ticket)
+                self._mark_removed(ticket)
                 return ticket
         return None
 
     def peek(self) -> Ticket[T] | None:
-        """Return the next request and leave it in the queue."""
+        """Return the next request without removing it."""
         while self._heap and not self._heap[0][3].waiting:
             heapq.heappop(self._heap)
         return self._heap[0][3] if self._heap else None
 
     def cancel(self, ticket: Ticket[T]) -> bool:
-        """Remove a request; False when it is no longer waiting."""
+        """Remove a request; return False if it is no longer waiting."""
         if not ticket.waiting:
             return False
-        self._leave(ticket)
+        self._mark_removed(ticket)
         self._compact()
         return True
 
     def remove_late(self, now: float, service_s: float) -> list[Ticket[T]]:
         """Remove and return the requests that cannot finish in time."""
-        late = [
-            entry[3]
-            for entry in self._heap
-            if entry[3].waiting and now + service_s > entry[1]
+        late_tickets = [
+            heap_item[3]
+            for heap_item in self._heap
+            if heap_item[3].waiting and now + service_s > heap_item[1]
         ]
-        for ticket in late:
-            self._leave(ticket)
+        for ticket in late_tickets:
+            self._mark_removed(ticket)
         self._compact()
-        return late
+        return late_tickets
 
-    def _leave(self, ticket: Ticket[T]) -> None:
+    def _mark_removed(self, ticket: Ticket[T]) -> None:
         ticket.waiting = False
-        self._waiting -= 1
+        self._waiting_count -= 1
 
     def _evict(self, priority: int, deadline: float) -> Ticket[T] | None:
-        """Remove the last request if it has less priority."""
-        waiting = [entry for entry in self._heap if entry[3].waiting]
+        """Remove the last request if its priority is lower than `priority`."""
+        waiting = [
+            heap_item for heap_item in self._heap if heap_item[3].waiting
+        ]
         if not waiting:
             return None
         last = max(waiting)[3]
         if last.priority <= priority:
             return None
-        self._leave(last)
+        self._mark_removed(last)
         self._compact()
         return last
 
     def _compact(self) -> None:
-        """Drop removed requests once they are the larger part."""
-        if len(self._heap) <= 2 * self._waiting + 16:
+        """Drop removed requests from the heap once they are the majority."""
+        if len(self._heap) <= 2 * self._waiting_count + 16:
             return
-        self._heap = [entry for entry in self._heap if entry[3].waiting]
+        self._heap = [
+            heap_item for heap_item in self._heap if heap_item[3].waiting
+        ]
         heapq.heapify(self._heap)
--- a/fulmarseam/steering/_retry_budget.py
+++ b/fulmarseam/steering/_retry_budget.py
@@ -1,22 +1,22 @@
-"""A bound on retries."""
+"""Retry budget as a token bucket."""
 
-# A few retries are possible after a quiet time.
+# Allows for a few retries after a time without requests.
 MAX_TOKENS = 10.0
 
 
 class RetryBudget:
-    """Bounds the retries of a pool to a share of its requests."""
+    """Limits the retries of a pool to a share of its requests."""
 
     def __init__(self, ratio: float) -> None:
         self.ratio = ratio
         self._tokens = 1.0
 
     def count_request(self) -> None:
-        """Count a request that is no retry."""
+        """Count a request that is not a retry."""
         self._tokens = min(MAX_TOKENS, self._tokens + self.ratio)
 
     def try_acquire(self) -> bool:
-        """Take the budget of one retry; False when there is none."""
+        """Use the budget of one retry; return False if there is none."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/fulmarseam/steering/_routes.py
+++ b/fulmarseam/steering/_routes.py
@@ -1,4 +1,4 @@
-"""Matching of requests to routes."""
+"""Matching of requests to routes by host, path and method."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -12,16 +12,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteIndex:
-    """Routes by host and path prefix, as made by `compile_routes`."""
+    """Routes by host and path prefix, made by `compile_routes`."""
 
     hosts: dict[str, dict[str, tuple[wire.Route, ...]]]
 
 
 class RouteMatch(NamedTuple):
-    """The route of a request, or the kind of the refusal.
+    """The route of a request, or the reason for its refusal.
 
-    `methods` lists the methods that the path allows when the method of the
-    request does not match.
+    `methods` lists the allowed methods if only the method of the request
+    does not match.
     """
 
     route: wire.Route | None
@@ -46,20 +46,20 @@
 def match_route(
     index: RouteIndex, host: str, path: str, method: str
 ) -> RouteMatch:
-    """Return the route with the longest path prefix that takes the method.
+    """Return the route with the longest path prefix that allows the method.
 
     A prefix matches whole path segments: `/a` matches `/a` and `/a/b` but
-    not `/ab`. Routes of the exact host come before those of host `*`. The
-    host is compared without its port and case, the path without its query.
-    A retired route is returned like any other.
+    not `/ab`. Routes of the exact host precede those of host `*`. The host
+    is compared case-insensitively and without its port, the path without
+    its query string. Retired routes match like any other.
     """
     name = _strip_port(host).lower()
-    plain_path = path.partition('?')[0]
+    path_without_query = path.partition('?')[0]
     allowed: list[str] = []
     for prefixes in (index.hosts.get(name), index.hosts.get(ANY_HOST)):
         if prefixes is None:
             continue
-        route = _match_path(prefixes, plain_path, method, allowed)
+        route = _match_path(prefixes, path_without_query, method, allowed)
         if route is not None:
             return RouteMatch(route)
     if allowed:
@@ -89,7 +89,7 @@
 
 
 def _normalize(path: str) -> str:
-    """Return the path without trailing slashes; the root is empty."""
+    """Return the path without trailing slashes; the root path is empty."""
     return path.rstrip('/')
 
 
--- a/fulmarseam/steering/_shifts.py
+++ b/fulmarseam/steering/_shifts.py
@@ -1,27 +1,28 @@
-"""Caps on traffic moved from one region to another."""
+"""Limits on the traffic that shifts move to another region."""
 
 from collections.abc import Iterable
 
 from fulmarseam import ids
 from fulmarseam import wire
 
-# Bounds the burst after a time without a usable target in the region.
+# Limits the burst after a time without a usable target in the destination.
 MAX_CREDIT = 10.0
 
 
 class ShiftCredit:
     """Credit of one entry for one shift.
 
-    Every arrival adds percent/100 and every placement in the other region
-    takes one. Credit starts at zero, so the placements of an entry never
-    exceed the cap of its arrivals, and the sum over entries cannot either.
+    Each arriving request adds percent/100, and each placement in the other
+    region costs 1. The credit starts at zero, so the placements of an entry
+    never exceed the capped share of its arrivals, nor does the sum over all
+    entries.
     """
 
     def __init__(self) -> None:
         self.credit = 0.0
 
     def count_arrival(self, percent: float) -> None:
-        """Count an arrival while `percent` of them may move."""
+        """Count an arriving request of which `percent` may be moved."""
         self.credit = min(MAX_CREDIT, self.credit + percent / 100.0)
 
     def has_credit(self) -> bool:
@@ -29,28 +30,29 @@
         return self.credit >= 1.0
 
     def try_acquire(self) -> bool:
-        """Take the credit for one placement; False when there is none."""
+        """Use the credit of one placement; return False if there is none."""
         if self.credit < 1.0:
             return False
         self.credit -= 1.0
         return True
 
     def refund(self) -> None:
-        """Return the credit of a placement that sent nothing."""
+        """Give back the credit of a placement that sent nothing."""
         self.credit = min(MAX_CREDIT, self.credit + 1.0)
 
 
 class ShiftLimiter:
-    """Credits of an entry for the shifts that start in its region.
+    """Limits the placements of an entry in other regions by shift credits.
 
-    Example::
+    It applies the shifts that start in the region of the entry::
 
-        book.update(shifts)
-        book.count_arrival(pool)
+        limiter.update(shifts)
+        limiter.count_arrival(pool)
         choice = choose_target(
-            view, ..., preferred=book.get_preferred_region(pool),
-            blocked=book.list_blocked_regions(pool))
-        book.try_acquire(pool, choice.region)
+            view, ...,
+            preferred_region=limiter.get_preferred_region(pool),
+            blocked_regions=limiter.list_blocked_regions(pool))
+        limiter.try_acquire(pool, choice.region)
     """
 
     def __init__(self, region: ids.RegionName) -> None:
@@ -59,13 +61,13 @@
         self._shifts: dict[ids.PoolName, dict[ids.RegionName, wire.Shift]] = {}
 
     def update(self, shifts: Iterable[wire.Shift]) -> None:
-        """Take the shifts of the configuration in force.
+        """Set the shifts of the configuration in force.
 
-        Shifts that are active or held bind; a held one keeps its percent.
+        Only active and held shifts apply; a held shift keeps its percentage.
         """
         self._shifts = {}
         for shift in shifts:
-            if shift.from_region == self._region and _binds(shift):
+            if shift.from_region == self._region and _is_in_force(shift):
                 pool = self._shifts.setdefault(shift.pool, {})
                 pool[shift.to_region] = shift
         names = {
@@ -86,7 +88,7 @@
     def get_preferred_region(
         self, pool: ids.PoolName
     ) -> ids.RegionName | None:
-        """Return the region to which the next request should move."""
+        """Return the region that the next request should be moved to."""
         shifts = self._shifts.get(pool)
         if not shifts:
             return None
@@ -99,7 +101,7 @@
     def list_blocked_regions(
         self, pool: ids.PoolName
     ) -> frozenset[ids.RegionName]:
-        """Return the regions where no request of the pool may go now."""
+        """Return the regions that no request of the pool may be moved to."""
         return frozenset(
             region
             for region, shift in self._shifts.get(pool, {}).items()
@@ -107,16 +109,16 @@
         )
 
     def try_acquire(self, pool: ids.PoolName, region: ids.RegionName) -> bool:
-        """Account for a placement; False when it must not be made."""
+        """Use credit for a placement; return False if it is not allowed."""
         shift = self._shifts.get(pool, {}).get(region)
         return shift is None or self._credits[shift.name].try_acquire()
 
     def refund(self, pool: ids.PoolName, region: ids.RegionName) -> None:
-        """Return the credit of a placement that sent nothing."""
+        """Give back the credit of a placement that sent nothing."""
         shift = self._shifts.get(pool, {}).get(region)
         if shift is not None:
             self._credits[shift.name].refund()
 
 
-def _binds(shift: wire.Shift) -> bool:
+def _is_in_force(shift: wire.Shift) -> bool:
     return shift.state in (wire.ShiftState.ACTIVE, wire.ShiftState.HELD)
--- a/fulmarseam/steering/_suspects.py
+++ b/fulmarseam/steering/_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that may crash the targets that run them."""
+"""Quarantine of requests that may crash the targets that run them."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -8,16 +8,16 @@
 
 from fulmarseam import ids
 
-# Strikes on two different targets quarantine a request.
+# Number of different targets with a strike that quarantines a request.
 STRIKES_TO_QUARANTINE = 2
 QUARANTINE_S = 600.0
-# Bounds the memory that a flood of broken connections can take.
+# Limits the memory that a flood of broken connections can use.
 MAX_FINGERPRINTS = 10_000
-BODY_BYTES_HASHED = 16 * 1024
+HASHED_BODY_BYTES = 16 * 1024
 
 
 class SuspectState(enum.Enum):
-    """What strikes say about a request."""
+    """State of a request by its strikes."""
 
     CLEAR = 'clear'
     SUSPECT = 'suspect'
@@ -25,14 +25,14 @@
 
 
 class Strike(NamedTuple):
-    """A connection to `target` broke while the request ran there."""
+    """A connection to `target` that broke while it ran the request."""
 
     fingerprint: str
     target: ids.TargetId
 
 
 class SuspectRow(NamedTuple):
-    """A suspected or quarantined request; `left_s` until it is forgotten."""
+    """A suspected or quarantined request; it expires in `left_s`."""
 
     fingerprint: str
     targets: list[ids.TargetId]
@@ -43,15 +43,15 @@
 @dataclasses.dataclass(slots=True)
 class _Suspect:
     targets: set[ids.TargetId]
-    until: float
+    expires_at: float
 
 
 def compute_fingerprint(
     request_id: str | None, method: str, host: str, path: str, body: bytes
 ) -> str:
-    """Return the same text for the same request sent again.
+    """Return a digest that is the same for each retry of a request.
 
-    `body` is the beginning of the body; 16 KiB of it count.
+    `body` is the beginning of the body, of which 16 KiB are hashed.
     """
     digest = hashlib.blake2b(digest_size=16)
     parts = [method, host, path]
@@ -62,16 +62,16 @@
         data = part.encode()
         digest.update(len(data).to_bytes(4, 'big'))
         digest.update(data)
-    digest.update(body[:BODY_BYTES_HASHED])
+    digest.update(body[:HASHED_BODY_BYTES])
     return digest.hexdigest()
 
 
 class SuspectTable:
-    """Strikes of this entry and its peers.
+    """Strikes recorded by this entry and its peers.
 
-    A suspect runs on a target only while no other suspect does there, so
-    that a crash of the target tells which of them did it. A full answer
-    clears the strikes.
+    At most one suspect runs on a target at a time, so that a crash of the
+    target identifies the request that caused it. A complete response clears
+    the strikes of a request.
     """
 
     def __init__(self) -> None:
@@ -79,30 +79,30 @@
         self._running: dict[ids.TargetId, str] = {}
 
     def strike(self, now: float, strike: Strike) -> SuspectState:
-        """Count a strike, own or of a peer, and return the new state."""
+        """Record a strike of this entry or a peer; return the new state."""
         suspect = self._suspects.get(strike.fingerprint)
-        if suspect is None or suspect.until <= now:
+        if suspect is None or suspect.expires_at <= now:
             suspect = _Suspect(set(), 0.0)
-            self._make_room(now)
+            self._evict_oldest(now)
             self._suspects[strike.fingerprint] = suspect
         if strike.target not in suspect.targets:
             suspect.targets.add(strike.target)
-            suspect.until = now + QUARANTINE_S
+            suspect.expires_at = now + QUARANTINE_S
         return self.get_state(now, strike.fingerprint)
 
     def merge(self, now: float, strikes: Iterable[Strike]) -> None:
-        """Count the strikes that a peer has sent; repeats change nothing."""
+        """Record the strikes of a peer; known strikes change nothing."""
         for strike in strikes:
             self.strike(now, strike)
 
     def clear(self, fingerprint: str) -> bool:
-        """Forget the strikes after a full answer; True if there were any."""
+        """Drop the strikes of a request; return whether there were any."""
         return self._suspects.pop(fingerprint, None) is not None
 
     def get_state(self, now: float, fingerprint: str) -> SuspectState:
-        """Return what is known about a request."""
+        """Return the state of a request."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or suspect.until <= now:
+        if suspect is None or suspect.expires_at <= now:
             return SuspectState.CLEAR
         if len(suspect.targets) >= STRIKES_TO_QUARANTINE:
             return SuspectState.QUARANTINED
@@ -111,10 +111,10 @@
     def try_start(
         self, now: float, fingerprint: str, target: ids.TargetId
     ) -> bool:
-        """Start a request on a target; False when it must not run there.
+        """Start a request on a target; return False if it must not run there.
 
-        A clear request always may. A suspect that was started must be
-        ended with `finish`.
+        A clear request is always allowed. A suspect that was started must
+        be ended with `finish`.
         """
         state = self.get_state(now, fingerprint)
         if state is SuspectState.CLEAR:
@@ -125,7 +125,7 @@
         return True
 
     def finish(self, fingerprint: str, target: ids.TargetId) -> None:
-        """End a request on a target; harmless for clear requests."""
+        """End a request on a target; does nothing for a clear request."""
         if self._running.get(target) == fingerprint:
             del self._running[target]
 
@@ -140,23 +140,23 @@
                 fingerprint,
                 sorted(suspect.targets),
                 self.get_state(now, fingerprint),
-                suspect.until - now,
+                suspect.expires_at - now,
             )
             for fingerprint, suspect in self._suspects.items()
-            if suspect.until > now
+            if suspect.expires_at > now
         ]
 
     def expire(self, now: float) -> None:
-        """Forget strikes that are older than the quarantine."""
-        ended = [
+        """Drop the requests whose strikes have expired."""
+        expired = [
             fingerprint
             for fingerprint, suspect in self._suspects.items()
-            if suspect.until <= now
+            if suspect.expires_at <= now
         ]
-        for fingerprint in ended:
+        for fingerprint in expired:
             del self._suspects[fingerprint]
 
-    def _make_room(self, now: float) -> None:
+    def _evict_oldest(self, now: float) -> None:
         if len(self._suspects) < MAX_FINGERPRINTS:
             return
         self.expire(now)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -134,8 +134,10 @@
         for _ in range(8):
             chooser.outcomes.record_failure(chooser.now, 't0')
         # A third of two targets is none, so nothing may be ejected.
-        judged = chooser.outcomes.judge(chooser.now, list(chooser.places))
-        self.assertEqual((frozenset(), frozenset({'t0'}), False), judged)
+        outliers = chooser.outcomes.detect_outliers(
+            chooser.now, list(chooser.places)
+        )
+        self.assertEqual((frozenset(), frozenset({'t0'}), False), outliers)
         self.assertEqual({'t1'}, set(chooser.count()))
         chooser.fill('t1')
         self.assertEqual({'t0'}, set(chooser.count()))
@@ -211,11 +213,11 @@
         self.assertEqual('t0', chooser.choose())
         chooser.now = 10.0
         names = list(chooser.places)
-        judged = chooser.outcomes.judge(15.1, names)
-        self.assertEqual(frozenset(), judged.ejected)
+        outliers = chooser.outcomes.detect_outliers(15.1, names)
+        self.assertEqual(frozenset(), outliers.ejected)
         chooser.outcomes.record_failure(15.2, 't0')
-        judged = chooser.outcomes.judge(15.3, names)
-        self.assertEqual({'t0'}, judged.ejected)
+        outliers = chooser.outcomes.detect_outliers(15.3, names)
+        self.assertEqual({'t0'}, outliers.ejected)
 
     def test_at_most_a_third_is_ejected(self) -> None:
         table = steering.OutcomeTable()
@@ -224,17 +226,19 @@
             for _ in range(8 + number):
                 table.record_failure(1.0, name)
             table.record_success(1.0, name, 0.1)
-        judged = table.judge(1.0, names)
-        self.assertFalse(judged.is_suspect)
-        self.assertEqual(3, len(judged.ejected))
+        outliers = table.detect_outliers(1.0, names)
+        self.assertFalse(outliers.is_inconclusive)
+        self.assertEqual(3, len(outliers.ejected))
 
-    def test_many_bad_targets_make_the_measurement_suspect(self) -> None:
+    def test_many_failing_targets_make_the_measurement_inconclusive(
+        self,
+    ) -> None:
         chooser = self.make_chooser(4)
         for name in ('t0', 't1', 't2'):
             for _ in range(8):
                 chooser.outcomes.record_failure(10.0, name)
-        judged = chooser.outcomes.judge(10.0, list(chooser.places))
-        self.assertEqual((frozenset(), frozenset(), True), judged)
+        outliers = chooser.outcomes.detect_outliers(10.0, list(chooser.places))
+        self.assertEqual((frozenset(), frozenset(), True), outliers)
         counts = chooser.count(400)
         self.assertGreater(min(counts[f't{n}'] for n in range(4)), 60)
 
@@ -243,7 +247,9 @@
         table.record_failure(1.0, 't0')
         table.record_failure(1.0, 't0')
         names = ['t0', 't1', 't2']
-        self.assertEqual(frozenset(), table.judge(1.0, names).ejected)
+        self.assertEqual(
+            frozenset(), table.detect_outliers(1.0, names).ejected
+        )
 
     def test_forgotten_outcomes_are_gone(self) -> None:
         table = steering.OutcomeTable()
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -58,7 +58,7 @@
 
     def test_a_target_that_answers_nothing_is_left_alone(self) -> None:
         """Guards against new requests for a host that lost its power."""
-        dark = make_target('a', service_s=0.1, answers=10)
+        dark = make_target('a', service_s=0.1, response_count=10)
         steering.note_start(dark, 0.0)
         self.assertIs(place([dark], now=0.5).target, dark)
         self.assertIsNone(place([dark], now=0.7).target)
