--- a/fulmarseam/platform/_calls.py
+++ b/fulmarseam/platform/_calls.py
@@ -80,8 +80,8 @@
         self, method: str, body: bytes, caller: http.CallerConnection
     ) -> None:
         if method == 'GET':
-            await self._member.confirm()
-            items = self._member.catalog.items.live()
+            await self._member.wait_until_current()
+            items = self._member.catalog.items.list_live()
             caller.answer(200, JSON, _items.write_items(items))
             return
         _require_method(method, 'PATCH')
