--- a/fulmarseam/steering/_lookups.py
+++ b/fulmarseam/steering/_lookups.py
@@ -1,4 +1,4 @@
-"""Order of entries in a look-up response."""
+"""Order of entries in a lookup response."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -13,7 +13,7 @@
 
 
 def find_by_scan(rows: dict[str, str], address: str) -> str | None:
-    """Return the region of the longest block by looking at each row."""
+    """Return the region of the longest matching block by linear search."""
     number = ipaddress.ip_address(address)
     matches = [
         (ipaddress.ip_network(block).prefixlen, region)
@@ -24,7 +24,7 @@
 
 
 class BlockTableTest(unittest.TestCase):
-    """Guards against a caller sent to the region of another block."""
+    """Guards against a caller assigned to the region of another block."""
 
     def test_longest_block_decides(self) -> None:
         table = blocks.BlockTable()
@@ -48,13 +48,13 @@
         self.assertEqual('ost', table.find('10.1.2.3'))
         self.assertEqual(1, len(table))
 
-    def test_invalid_blocks_are_refused(self) -> None:
+    def test_invalid_blocks_are_rejected(self) -> None:
         for block in ('10.0.0.1/8', '10.0.0.0/33', '2001:db8::/65', 'x'):
             with self.subTest(block=block):
                 with self.assertRaises(ValueError):
                     blocks.BlockTable().set(block, 'ost')
 
-    def test_damaged_image_leaves_the_table_as_it_was(self) -> None:
+    def test_damaged_image_leaves_the_table_unchanged(self) -> None:
         table = blocks.BlockTable()
         table.set('10.0.0.0/8', 'ost')
         image = table.dump()
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a target and of own outcomes."""
+"""Tests of target choice with slot grants and of outlier detection."""
 
 import collections
 import random
@@ -19,7 +19,7 @@
 
 
 class Chooser:
-    """A pool view of an entry in domain a1 with grants on all targets."""
+    """View of an entry in domain a1 that has grants on all targets."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.now = 10.0
         self.rng = random.Random(5)
         self.outcomes = steering.OutcomeTable()
-        self.book = steering.SlotTracker()
+        self.slot_tracker = steering.SlotTracker()
         self.loads: dict[str, tuple[int, float]] = {}
         self.places = places
         self.view = steering.PoolView(
@@ -43,7 +43,7 @@
             for name in places
         ]
         response = allocator_fixtures.make_response(1, 1, grants)
-        self.book.apply(self.now, self.now, response)
+        self.slot_tracker.apply(self.now, self.now, response)
 
     def refresh(self) -> None:
         rows = []
@@ -62,28 +62,28 @@
 
     def choose(self, **options: object) -> str | None:
         choice = steering.choose_target(
-            self.view, self.now, self.book, self.rng, **options
+            self.view, self.now, self.slot_tracker, self.rng, **options
         )
         return None if choice is None else choice.target
 
-    def count(self, tries: int = 200) -> collections.Counter[str | None]:
+    def count(self, choices: int = 200) -> collections.Counter[str | None]:
         self.refresh()
-        return collections.Counter(self.choose() for _ in range(tries))
+        return collections.Counter(self.choose() for _ in range(choices))
 
     def fill(self, *targets: str) -> None:
         for target in targets:
-            while self.book.try_acquire(self.now, target):
+            while self.slot_tracker.try_acquire(self.now, target):
                 pass
 
 
 class OrderTest(unittest.TestCase):
-    """Guards against requests that travel without need or leave."""
+    """Guards against requests that leave their region without need."""
 
     def setUp(self) -> None:
         self.chooser = Chooser(PLACES)
         self.chooser.refresh()
 
-    def test_order_is_domain_region_remote(self) -> None:
+    def test_order_is_domain_then_region_then_remote(self) -> None:
         chooser = self.chooser
         self.assertEqual({'t0', 't1'}, set(chooser.count()))
         chooser.fill('t0', 't1')
@@ -93,11 +93,11 @@
         self.assertEqual('t4', chooser.choose(blocked_regions={'b'}))
         self.assertIsNone(chooser.choose(blocked_regions={'b', 'c'}))
 
-    def test_remote_is_marked(self) -> None:
+    def test_remote_target_is_marked_as_remote(self) -> None:
         chooser = self.chooser
         chooser.fill('t0', 't1', 't2')
         choice = steering.choose_target(
-            chooser.view, chooser.now, chooser.book, chooser.rng
+            chooser.view, chooser.now, chooser.slot_tracker, chooser.rng
         )
         assert choice is not None
         self.assertTrue(choice.is_remote)
@@ -108,7 +108,7 @@
         chooser.fill('t0', 't1', 't2')
         self.assertIsNone(chooser.choose())
 
-    def test_shift_goes_first_unless_blocked(self) -> None:
+    def test_preferred_region_comes_first_unless_blocked(self) -> None:
         chooser = self.chooser
         self.assertEqual('t3', chooser.choose(preferred_region='b'))
         blocked = chooser.choose(preferred_region='b', blocked_regions={'b'})
@@ -133,7 +133,7 @@
         chooser = Chooser({'t0': ('a', 'a1'), 't1': ('a', 'a2')})
         for _ in range(8):
             chooser.outcomes.record_failure(chooser.now, 't0')
-        # A third of two targets is none, so nothing may be ejected.
+        # At most a third may be ejected, which is none of two targets.
         outliers = chooser.outcomes.detect_outliers(
             chooser.now, list(chooser.places)
         )
@@ -147,8 +147,8 @@
         self.assertIsNone(self.chooser.choose())
 
 
-class ScoreTest(unittest.TestCase):
-    """Guards against reports that mislead and targets that fail."""
+class CostTest(unittest.TestCase):
+    """Guards against outdated load reports and failing targets."""
 
     def make_chooser(self, count: int, **pool: object) -> Chooser:
         places = {f't{number}': ('a', 'a1') for number in range(count)}
@@ -161,7 +161,7 @@
 
     def test_least_used_share_is_chosen(self) -> None:
         chooser = self.make_chooser(2, latency_weight=0.0)
-        chooser.book.try_acquire(chooser.now, 't0')
+        chooser.slot_tracker.try_acquire(chooser.now, 't0')
         self.assertEqual({'t1'}, set(chooser.count()))
 
     def test_fresh_report_counts(self) -> None:
@@ -169,13 +169,13 @@
         chooser.loads = {'t0': (4, 0.0), 't1': (0, 0.0)}
         self.assertEqual({'t1'}, set(chooser.count()))
 
-    def test_old_report_is_hardly_trusted(self) -> None:
+    def test_old_report_has_little_weight(self) -> None:
         chooser = self.make_chooser(2)
         chooser.loads = {'t0': (4, 8.0), 't1': (0, 8.0)}
         counts = chooser.count()
         self.assertGreater(counts['t0'], 50)
 
-    def test_missing_report_is_the_mean_and_not_idle(self) -> None:
+    def test_missing_report_counts_as_the_mean_load(self) -> None:
         chooser = self.make_chooser(3)
         chooser.loads = {'t0': (4, 0.0), 't1': (2, 0.0)}
         self.assertEqual({'t1'}, set(chooser.count()))
@@ -183,7 +183,7 @@
         counts = chooser.count(300)
         self.assertGreater(min(counts[f't{n}'] for n in range(3)), 50)
 
-    def test_own_outcomes_come_before_reports(self) -> None:
+    def test_own_outcomes_outweigh_reports(self) -> None:
         chooser = self.make_chooser(3, latency_weight=1.0)
         for _ in range(30):
             chooser.outcomes.record_success(10.0, 't0', 0.4)
@@ -204,7 +204,7 @@
         self.assertEqual(0, shares[1.0])
         self.assertGreater(shares[0.0], 30)
 
-    def test_failing_target_is_ejected_and_comes_back(self) -> None:
+    def test_failing_target_is_ejected_for_a_time(self) -> None:
         chooser = self.make_chooser(4)
         for _ in range(8):
             chooser.outcomes.record_failure(10.0, 't0')
@@ -251,7 +251,7 @@
             frozenset(), table.detect_outliers(1.0, names).ejected
         )
 
-    def test_forgotten_outcomes_are_gone(self) -> None:
+    def test_forgotten_outcomes_no_longer_count(self) -> None:
         table = steering.OutcomeTable()
         table.record_success(1.0, 't0', 0.5)
         self.assertEqual(0.5, table.get(1.0, 't0').latency_s)
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a target without grants; no network is used."""
+"""Tests of target choice without slot grants, in virtual time."""
 
 import heapq
 import random
@@ -23,14 +23,14 @@
     priority: int = 2,
     time_left_s: float = 2.0,
 ) -> steering.Placement:
-    """Place a request for which cold targets are not bounded."""
+    """Place a request without rate limits for cold targets."""
     return steering.place_request(
         now, targets, lambda item: True, priority, time_left_s
     )
 
 
 class PlacementTest(unittest.TestCase):
-    """Guards against requests sent where nobody can run them in time."""
+    """Guards against requests sent to targets that cannot run them in time."""
 
     def test_the_first_free_target_is_taken(self) -> None:
         busy = make_target('a', in_flight=2)
@@ -50,20 +50,20 @@
         self.assertIs(place([target], time_left_s=3.0).target, target)
 
     def test_a_target_that_fails_requests_comes_last(self) -> None:
-        grey = make_target('a', failure_rate=0.5)
-        sound = make_target('b')
-        self.assertIs(place([grey, sound]).target, sound)
-        sound.in_flight = 2
-        self.assertIs(place([grey, sound]).target, grey)
-
-    def test_a_target_that_answers_nothing_is_left_alone(self) -> None:
-        """Guards against new requests for a host that lost its power."""
-        dark = make_target('a', service_s=0.1, response_count=10)
-        steering.note_start(dark, 0.0)
-        self.assertIs(place([dark], now=0.5).target, dark)
-        self.assertIsNone(place([dark], now=0.7).target)
-        steering.note_answer(dark, 0.8, 0.1, 0.0)
-        self.assertIs(place([dark], now=0.9).target, dark)
+        failing = make_target('a', failure_rate=0.5)
+        healthy = make_target('b')
+        self.assertIs(place([failing, healthy]).target, healthy)
+        healthy.in_flight = 2
+        self.assertIs(place([failing, healthy]).target, failing)
+
+    def test_a_silent_target_gets_no_requests(self) -> None:
+        """Guards against new requests for a target whose host lost power."""
+        silent = make_target('a', service_s=0.1, response_count=10)
+        steering.note_start(silent, 0.0)
+        self.assertIs(place([silent], now=0.5).target, silent)
+        self.assertIsNone(place([silent], now=0.7).target)
+        steering.note_answer(silent, 0.8, 0.1, 0.0)
+        self.assertIs(place([silent], now=0.9).target, silent)
 
     def test_an_ejected_target_returns_after_a_growing_pause(self) -> None:
         target = make_target('a')
@@ -77,13 +77,13 @@
 
 
 class EvenFailureTest(unittest.TestCase):
-    """Pattern: all targets of a pool refuse half of their requests.
+    """Scenario: all targets of a pool refuse half of their requests.
 
-    Guards against requests for an object that wander over the whole pool,
-    where every target runs them unprepared.
+    Guards against requests for an object that spread over the whole pool, to
+    targets that do not have it cached.
     """
 
-    def place_all(self, rates: list[float], count: int) -> set[str]:
+    def place_for_one_object(self, rates: list[float], count: int) -> set[str]:
         """Return the targets of requests for one object."""
         targets = [
             make_target(f't{number}', failure_rate=rate)
@@ -106,28 +106,30 @@
         return found
 
     def test_an_object_stays_on_its_targets(self) -> None:
-        self.assertEqual({'t0', 't1'}, self.place_all([0.55] * 8, 6))
+        self.assertEqual(
+            {'t0', 't1'}, self.place_for_one_object([0.55] * 8, 6)
+        )
 
-    def test_a_target_that_alone_refuses_is_left(self) -> None:
-        found = self.place_all([0.55, *[0.02] * 7], 6)
+    def test_an_object_moves_away_from_a_single_failing_target(self) -> None:
+        found = self.place_for_one_object([0.55, *[0.02] * 7], 6)
         self.assertEqual({'t1', 't2'}, found)
 
 
-class PatienceTest(unittest.TestCase):
-    """Pattern: a day starts and most runs are for unknown objects.
+class AttemptTimeoutTest(unittest.TestCase):
+    """Scenario: a day starts and most requests are for uncached objects.
 
-    A run then takes three times as long as later. Guards against requests
-    that are taken from a sound target and started anew elsewhere, which
-    doubles the work while there is most of it.
+    These take three times as long as later ones. Guards against requests
+    that are withdrawn from a healthy target and started again on another
+    one, which doubles the work at peak load.
     """
 
-    def test_nobody_is_impatient_before_the_usual_time_is_known(self) -> None:
+    def test_first_responses_do_not_shorten_the_timeout(self) -> None:
         target = make_target('a')
         for _ in range(9):
             steering.note_answer(target, 0.0, 0.1, 0.0)
         self.assertEqual(steering.compute_attempt_timeout(target, 8.0), 8.0)
 
-    def test_an_unprepared_run_is_within_the_patience(self) -> None:
+    def test_timeout_allows_for_an_uncached_object(self) -> None:
         target = make_target('a')
         for _ in range(100):
             steering.note_answer(target, 0.0, 0.42, 0.0)
@@ -135,7 +137,9 @@
             steering.compute_attempt_timeout(target, 8.0), 1.4 * 1.5
         )
 
-    def test_no_second_attempt_that_cannot_end_in_time(self) -> None:
+    def test_timeout_is_the_time_left_without_time_for_another_attempt(
+        self,
+    ) -> None:
         target = make_target('a')
         for _ in range(100):
             steering.note_answer(target, 0.0, 0.42, 0.0)
@@ -143,13 +147,13 @@
 
 
 class PriorityOverloadTest(unittest.TestCase):
-    """Pattern: callers ask for more than all targets run.
+    """Scenario: callers send more requests than all targets can run.
 
-    Guards against urgent requests that are refused beside less urgent
-    ones, which wait in the same queues.
+    Guards against refusals of requests of high priority while requests of
+    lower priority wait in the same queues.
     """
 
-    def test_what_matters_most_is_refused_last(self) -> None:
+    def test_higher_priorities_are_refused_last(self) -> None:
         target = make_target('a', service_s=0.1)
         admitted = {0: 0, 1: 0, 2: 0}
         for priority in (2, 1, 0):
@@ -161,21 +165,21 @@
         self.assertLessEqual(target.in_flight, 3 * target.record.slots)
 
 
-class SpreadOverloadTest(unittest.TestCase):
-    """Pattern: a day starts with more requests than unprepared targets run.
+class CacheThrashingTest(unittest.TestCase):
+    """Scenario: a day starts with more requests than cold caches allow.
 
-    A request for an object that its target handled lately takes 0.1 s, any
-    other one 0.36 s, and a target remembers 67 objects. 84 slots run 233
-    unprepared requests a second; callers ask for 380. Guards against an
-    overload that spreads the objects over all targets and never ends.
+    A request takes 0.1 s if its target has the object cached and 0.36 s
+    otherwise; a target caches 67 objects. 84 slots run 233 uncached requests
+    a second, and callers send 380. Guards against an overload that spreads
+    the objects over all targets and never ends.
     """
 
     OBJECTS = [str(number) for number in range(211)]
-    REMEMBERED = 67
+    CACHE_SIZE = 67
     RATE = 380.0
 
-    def _play(self, choices: int | None) -> float:
-        """Return the part of the requests of the last 4 s answered fast."""
+    def _simulate(self, choices: int | None) -> float:
+        """Return the share of fast responses in the last 4 s."""
         rng = random.Random(7)
         targets = [make_target(f't{number}') for number in range(14)]
         for item in targets:
@@ -186,9 +190,11 @@
             key: [by_id[name] for name in steering.rank_targets(key, weights)]
             for key in self.OBJECTS
         }
-        backends = {item.target: Backend(self.REMEMBERED) for item in targets}
+        simulated = {
+            item.target: SimulatedTarget(self.CACHE_SIZE) for item in targets
+        }
         ends: list[tuple[float, int, steering.ObservedTarget]] = []
-        now, number, asked, fast = 0.0, 0, 0, 0
+        now, number, request_count, fast_count = 0.0, 0, 0, 0
         while now < 12.0:
             now += rng.expovariate(self.RATE)
             while ends and ends[0][0] <= now:
@@ -197,89 +203,94 @@
             placed = steering.place_request(
                 now, orders[key], lambda item: True, 2, 2.0, choices
             )
-            asked += now >= 8.0
+            request_count += now >= 8.0
             if placed.target is None:
                 continue
             steering.note_start(placed.target, now)
-            end = backends[placed.target.target].run(now, key)
+            end = simulated[placed.target.target].run(now, key)
             placed.target.silent_since = end
             number += 1
             heapq.heappush(ends, (end, number, placed.target))
-            fast += now >= 8.0 and end - now <= 0.25
-        return fast / asked
+            fast_count += now >= 8.0 and end - now <= 0.25
+        return fast_count / request_count
 
     def test_two_targets_for_an_object_end_the_overload(self) -> None:
-        self.assertGreater(self._play(2), 0.95)
+        self.assertGreater(self._simulate(2), 0.95)
 
-    def test_any_target_for_an_object_keeps_it_going(self) -> None:
-        """Shows that the pattern is one: the bound is what ends it."""
-        self.assertLess(self._play(None), 0.5)
+    def test_unlimited_targets_for_an_object_keep_the_overload_going(
+        self,
+    ) -> None:
+        """Shows that the scenario overloads the pool without the limit."""
+        self.assertLess(self._simulate(None), 0.5)
 
 
 class LostTargetsTest(unittest.TestCase):
-    """Pattern: a third of a busy pool is lost and the rest runs on.
-
-    Twelve targets with four slots remember 31 objects each and run a known
-    one in 0.144 s, any other in 0.48 s; callers ask 170 times a second for
-    180 objects. Four targets end at 6 s. Guards against requests that
-    leave the target of their object as soon as its slots are taken: the
-    second one then runs them unprepared and forgets its own objects.
+    """Scenario: a busy pool loses a third of its targets.
+
+    Twelve targets with four slots cache 31 objects each. A request takes
+    0.144 s for a cached object and 0.48 s for any other; callers send 170
+    requests a second for 180 objects. Four targets end at 6 s. Guards
+    against requests that leave the target of their object as soon as its
+    slots are in use: another target then runs them without a cached object
+    and evicts its own objects.
     """
 
-    def test_requests_wait_where_their_object_is_known(self) -> None:
+    def test_requests_queue_where_their_object_is_cached(self) -> None:
         for seed in (7, 8):
             with self.subTest(seed=seed):
-                self.assertGreater(self._play(seed), 0.9)
+                self.assertGreater(self._simulate(seed), 0.9)
 
-    def _play(self, seed: int) -> float:
-        """Return the part of the requests from 8 s on answered in 0.4 s."""
+    def _simulate(self, seed: int) -> float:
+        """Return the share of requests from 8 s on that take up to 0.4 s."""
         rng = random.Random(seed)
-        pool = Pool(12, 4, 31, 0.144, 0.48)
+        pool = SimulatedPool(12, 4, 31, 0.144, 0.48)
         objects = [str(number) for number in range(180)]
-        now, asked, fast = 0.0, 0, 0
+        now, request_count, fast_count = 0.0, 0, 0
         while now < 14.0:
             now += rng.expovariate(170.0)
             if now >= 6.0:
-                pool.lose(4)
-            taken_s = pool.run(now, rng.choice(objects))
-            asked += now >= 8.0
-            fast += now >= 8.0 and taken_s is not None and taken_s <= 0.4
-        return fast / asked
+                pool.remove_targets(4)
+            duration_s = pool.run(now, rng.choice(objects))
+            request_count += now >= 8.0
+            fast_count += (
+                now >= 8.0 and duration_s is not None and duration_s <= 0.4
+            )
+        return fast_count / request_count
 
 
-class Pool:
-    """Targets in virtual time, with the choice that an entry makes."""
+class SimulatedPool:
+    """Targets in virtual time, chosen as an entry does."""
 
     def __init__(
         self,
         count: int,
         slots: int,
-        remembered: int,
-        known_s: float,
-        unknown_s: float,
+        cache_size: int,
+        cached_s: float,
+        uncached_s: float,
     ) -> None:
         self._targets = {}
-        self._backends = {}
+        self._simulated = {}
         for number in range(count):
-            item = make_target(f't{number}', service_s=known_s)
+            item = make_target(f't{number}', service_s=cached_s)
             item.record = fixtures.make_record(item.target, slots=slots)
             self._targets[item.target] = item
-            self._backends[item.target] = Backend(
-                remembered, slots, known_s, unknown_s
+            self._simulated[item.target] = SimulatedTarget(
+                cache_size, slots, cached_s, uncached_s
             )
         self._weights = dict.fromkeys(self._targets, 1.0)
-        self._lost: set[ids.TargetId] = set()
+        self._removed: set[ids.TargetId] = set()
         self._ends: list[
             tuple[float, int, steering.ObservedTarget, float]
         ] = []
         self._number = 0
 
-    def lose(self, count: int) -> None:
-        """Use the first targets no more."""
-        self._lost = set(list(self._targets)[:count])
+    def remove_targets(self, count: int) -> None:
+        """Remove the first `count` targets."""
+        self._removed = set(list(self._targets)[:count])
 
     def run(self, now: float, key: str) -> float | None:
-        """Return how long a request takes, or None when it is refused."""
+        """Return the duration of a request, or None if it is refused."""
         while self._ends and self._ends[0][0] <= now:
             end, _, item, started = heapq.heappop(self._ends)
             steering.note_end(item)
@@ -287,7 +298,11 @@
         order = steering.rank_targets(key, self._weights)
         placed = steering.place_request(
             now,
-            [self._targets[name] for name in order if name not in self._lost],
+            [
+                self._targets[name]
+                for name in order
+                if name not in self._removed
+            ],
             lambda item: True,
             priority=1,
             time_left_s=2.5,
@@ -296,54 +311,54 @@
         if placed.target is None:
             return None
         steering.note_start(placed.target, now)
-        end = self._backends[placed.target.target].run(now, key)
+        end = self._simulated[placed.target.target].run(now, key)
         self._number += 1
         heapq.heappush(self._ends, (end, self._number, placed.target, now))
         return end - now
 
 
-class Backend:
-    """Runs requests on its slots and remembers the latest objects."""
+class SimulatedTarget:
+    """Runs requests on its slots and caches the most recent objects."""
 
     def __init__(
         self,
-        remembered: int,
+        cache_size: int,
         slots: int = 6,
-        known_s: float = 0.1,
-        unknown_s: float = 0.36,
+        cached_s: float = 0.1,
+        uncached_s: float = 0.36,
     ) -> None:
-        self._remembered = remembered
-        self._known_s = known_s
-        self._unknown_s = unknown_s
+        self._cache_size = cache_size
+        self._cached_s = cached_s
+        self._uncached_s = uncached_s
         self._free_at = [0.0] * slots
-        self._objects: dict[str, None] = {}
+        self._cache: dict[str, None] = {}
 
     def run(self, now: float, key: str) -> float:
-        """Return when a request ends."""
+        """Return the end time of a request."""
         start = max(now, heapq.heappop(self._free_at))
-        is_known = key in self._objects
-        end = start + (self._known_s if is_known else self._unknown_s)
+        is_cached = key in self._cache
+        end = start + (self._cached_s if is_cached else self._uncached_s)
         heapq.heappush(self._free_at, end)
-        self._objects.pop(key, None)
-        self._objects[key] = None
-        if len(self._objects) > self._remembered:
-            del self._objects[next(iter(self._objects))]
+        self._cache.pop(key, None)
+        self._cache[key] = None
+        if len(self._cache) > self._cache_size:
+            del self._cache[next(iter(self._cache))]
         return end
 
 
 class ColdTargetTest(unittest.TestCase):
-    """Pattern: a target returns cold and every entry has work for it.
+    """Scenario: a target returns cold and all entries have requests for it.
 
-    Guards against a surge: the sum over all entries in any second stays
-    within rate x factor + slack.
+    Guards against a load surge: the total rate of all entries in any second
+    stays within rate x factor + slack.
     """
 
     RATE = 13.0
-    BOUND = steering.ColdRateLimit(1.5, 5.0)
+    LIMIT = steering.ColdRateLimit(1.5, 5.0)
 
-    def _run(self, senders: int, seed: int) -> int:
+    def _find_peak_rate(self, senders: int, seed: int) -> int:
         rng = random.Random(seed)
-        share = self.BOUND.compute_sender_rate(self.RATE, senders)
+        share = self.LIMIT.compute_sender_rate(self.RATE, senders)
         entries = [
             make_target('a', token_offset=rng.random(), tokens=1.0)
             for _ in range(senders)
@@ -362,12 +377,14 @@
             sum(start <= at < start + 1.0 for at in sent) for start in sent
         )
 
-    def test_the_sum_stays_within_the_bound(self) -> None:
+    def test_the_total_rate_stays_within_the_limit(self) -> None:
         allowed = self.RATE * 1.5 + 5.0
         for senders in (1, 3, 7, 12, 35, 60):
             for seed in range(5):
                 with self.subTest(senders=senders, seed=seed):
-                    self.assertLessEqual(self._run(senders, seed), allowed)
+                    self.assertLessEqual(
+                        self._find_peak_rate(senders, seed), allowed
+                    )
 
     def test_a_target_that_was_unreachable_counts_as_cold(self) -> None:
         target = make_target('a')
@@ -379,7 +396,7 @@
 
 
 class AffinityTest(unittest.TestCase):
-    """Guards against objects that change their target for no reason."""
+    """Guards against objects that change their target without need."""
 
     WEIGHTS = {ids.TargetId(f't{number}'): 1.0 for number in range(14)}
 
@@ -410,14 +427,14 @@
 
 
 class RegionShareTest(unittest.TestCase):
-    """Pattern: regions with unequal slots and callers that ask alike.
+    """Scenario: regions differ in slots but have the same demand.
 
-    Guards against a region that is overloaded beside idle ones, and
-    against bytes that cross the links without need.
+    Guards against a region that is overloaded while others are idle, and
+    against traffic that crosses the links without need.
     """
 
-    def _load(self, slots: dict[str, int]) -> dict[str, float]:
-        """Return the use of each region's slots, 1.0 being the mean."""
+    def _compute_load(self, slots: dict[str, int]) -> dict[str, float]:
+        """Return the load of each region's slots relative to the mean."""
         regions = {
             fixtures.region(name): count for name, count in slots.items()
         }
@@ -434,7 +451,9 @@
         }
 
     def test_all_targets_are_used_alike(self) -> None:
-        for use in self._load({'ost': 12, 'west': 36, 'sued': 36}).values():
+        for use in self._compute_load(
+            {'ost': 12, 'west': 36, 'sued': 36}
+        ).values():
             self.assertAlmostEqual(use, 1.0, delta=0.15)
 
     def test_most_requests_stay_in_a_region_with_slots_enough(self) -> None:
@@ -453,21 +472,21 @@
 
 
 class WindowedRetryBudgetTest(unittest.TestCase):
-    """Pattern: a target sheds most requests and each could be repeated.
+    """Scenario: a target sheds most requests and each could be retried.
 
-    Guards against repeats that make an overload worse.
+    Guards against retries that make an overload worse.
     """
 
-    def test_repeats_stay_within_ratio_and_slack(self) -> None:
+    def test_retries_stay_within_ratio_and_slack(self) -> None:
         budget = steering.WindowedRetryBudget(0.1, 4.0, 10.0)
-        taken = 0
+        retry_count = 0
         for number in range(1_000):
             budget.count_request(number / 100)
-            taken += budget.try_acquire(number / 100)
-        self.assertLessEqual(taken, 104)
-        self.assertGreater(taken, 90)
+            retry_count += budget.try_acquire(number / 100)
+        self.assertLessEqual(retry_count, 104)
+        self.assertGreater(retry_count, 90)
 
-    def test_old_requests_allow_no_repeats(self) -> None:
+    def test_old_requests_allow_no_retries(self) -> None:
         budget = steering.WindowedRetryBudget(0.1, 0.0, 10.0)
         for _ in range(100):
             budget.count_request(0.0)
@@ -476,7 +495,7 @@
 
 
 class SplitTest(unittest.TestCase):
-    """Guards against shares of a split that drift from their weights."""
+    """Guards against a split that deviates from its weights."""
 
     def test_each_part_gets_its_weight(self) -> None:
         splitter = steering.Splitter()
--- a/tests/test_slot_plan.py
+++ b/tests/test_slot_plan.py
@@ -1,4 +1,4 @@
-"""Tests of the plan of slots and of the shares of links."""
+"""Tests of the distribution of slots and of link rates."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class PlanTest(unittest.TestCase):
-    """Guards against slots that are unused or in the wrong place."""
+    """Guards against slots that stay unused or go to the wrong targets."""
 
     def test_unused_share_moves_within_a_second(self) -> None:
         cluster = allocator_fixtures.build_pair()
@@ -35,7 +35,7 @@
             f'e{n}': (f'r{n % 3}', f'r{n % 3}{n // 3 % 2}') for n in range(7)
         }
         cluster = allocator_fixtures.Cluster(places)
-        cluster.links = model_links(['r0', 'r1', 'r2'])
+        cluster.links = make_links(['r0', 'r1', 'r2'])
         cluster.reports = [
             allocator_fixtures.make_target(
                 f't{n}',
@@ -57,7 +57,7 @@
         cluster = allocator_fixtures.Cluster(
             {'e0': ('a', 'a1'), 'e1': ('b', 'b1')}
         )
-        cluster.links = model_links(['a', 'b'])
+        cluster.links = make_links(['a', 'b'])
         cluster.reports = [
             allocator_fixtures.make_target('t0', 'a', failure_domain='a1'),
             allocator_fixtures.make_target('t1', 'a', failure_domain='a2'),
@@ -75,7 +75,7 @@
     def plan_one(
         self, wanted: int, held: dict[str, int], in_flight: dict[str, int]
     ) -> dict[str, int]:
-        """Return the plan of a draining entry, which gets no spare."""
+        """Return the plan of a draining entry, which gets no spare slots."""
         capacities = [
             _plan.TargetCapacity('t0', 'a', 'a2', 3),
             _plan.TargetCapacity('t1', 'a', 'a1', 3),
@@ -109,7 +109,7 @@
         self.assertEqual(3, cluster.held('e')['good'])
         self.assertGreaterEqual(cluster.held('e')['bad'], 2)
 
-    def test_slots_in_use_stay_where_they_are(self) -> None:
+    def test_slots_in_use_stay_on_their_targets(self) -> None:
         held = {'t0': 2, 't1': 2}
         self.assertEqual({'t0': 1}, self.plan_one(1, held, {'t0': 1}))
 
@@ -122,12 +122,14 @@
         ]
         cluster.wanted = {'e0': 2, 'e1': 3, 'e2': 1, 'e3': 2}
         cluster.settle()
-        seen = []
+        held_by_round = []
         for wanted in (2, 1, 2, 1):
             cluster.wanted['e2'] = wanted
             cluster.run(2.0)
-            seen.append({name: cluster.held(name) for name in cluster.places})
-        self.assertEqual([seen[0]] * 3, seen[1:])
+            held_by_round.append(
+                {name: cluster.held(name) for name in cluster.places}
+            )
+        self.assertEqual([held_by_round[0]] * 3, held_by_round[1:])
 
     def test_draining_entry_keeps_what_it_uses(self) -> None:
         cluster = allocator_fixtures.build_pair()
@@ -139,7 +141,7 @@
         cluster.run(2.0)
         self.assertEqual({'t0': 1}, cluster.held('e0'))
 
-    def test_drained_and_leaving_targets_get_nothing(self) -> None:
+    def test_drained_and_leaving_targets_get_no_slots(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
         cluster.settle()
@@ -167,7 +169,7 @@
         cluster.sync('e0')
         self.assertEqual({}, cluster.held('e0'))
 
-    def test_cold_target_starts_with_a_part_of_its_slots(self) -> None:
+    def test_cold_target_starts_with_a_share_of_its_slots(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.pool = wire.Pool(
             name='p', max_deadline_ms=4_000, slow_start_s=10.0, cold_factor=0.5
@@ -184,7 +186,7 @@
 
     def test_shift_moves_its_part_of_the_slots(self) -> None:
         cluster = allocator_fixtures.Cluster({'e0': ('a', 'a1')})
-        cluster.links = model_links(['a', 'b'])
+        cluster.links = make_links(['a', 'b'])
         cluster.reports = [
             allocator_fixtures.make_target('t0', 'a', slots=10),
             allocator_fixtures.make_target('t1', 'b', slots=10),
@@ -206,7 +208,7 @@
         cluster.settle()
         self.assertEqual(2, cluster.held('e0')['t1'])
 
-    def test_starved_entry_makes_news_for_the_holder(self) -> None:
+    def test_starved_entry_changes_the_grants_of_the_holder(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
         cluster.settle()
@@ -231,36 +233,39 @@
         self.assertEqual(3, cluster.total(other))
 
 
-def model_links(regions: list[str]) -> list[wire.Link]:
+def make_links(regions: list[str]) -> list[wire.Link]:
     """Return a link for each ordered pair of regions."""
     return [
         wire.Link(
-            name=f'{a}>{b}', from_region=a, to_region=b, bytes_per_s=1_000
+            name=f'{from_region}>{to_region}',
+            from_region=from_region,
+            to_region=to_region,
+            bytes_per_s=1_000,
         )
-        for a in regions
-        for b in regions
-        if a != b
+        for from_region in regions
+        for to_region in regions
+        if from_region != to_region
     ]
 
 
 class LinkTest(unittest.TestCase):
-    """Guards against more bytes on a link than its share."""
+    """Guards against more traffic on a link than its allocated rate."""
 
     def test_rates_stay_within_the_shared_part(self) -> None:
-        world = model.World()
+        simulated = model.SimulatedCluster()
         for _ in range(30):
-            world.advance(0.4)
+            simulated.advance(0.4)
             for target in model.TARGETS:
-                world.announce(target)
+                simulated.announce(target)
             for name in model.REGIONS:
-                world.entries[name].wanted = 5
-                world.exchange(name)
-            world.check()
+                simulated.entries[name].wanted = 5
+                simulated.exchange(name)
+            simulated.check_limits()
         rates = [
-            entry.tokens.rate(entry.clock(world.now), 'a>b')
-            for entry in world.entries.values()
+            entry.tokens.rate(entry.local_time(simulated.now), 'a>b')
+            for entry in simulated.entries.values()
         ]
-        self.assertGreater(sum(rates), 0.9 * model.LINK_LIMIT)
+        self.assertGreater(sum(rates), 0.9 * model.ALLOCATED_LINK_RATE)
 
     def test_tokens_saved_while_idle_are_bounded(self) -> None:
         tokens = steering.LinkTokens()
@@ -270,30 +275,32 @@
         )
         self.assertEqual(50, tokens.consume(2.0, 'a>b', 10_000))
 
-    def test_link_refuses_a_new_term_asked_before_a_change(self) -> None:
+    def test_new_term_is_refused_when_rates_changed_after_the_request(
+        self,
+    ) -> None:
         tokens = steering.LinkTokens()
         rates = [
-            wire.LinkRate(name='a>b', bytes_per_s=number)
-            for number in (500, 100)
+            wire.LinkRate(name='a>b', bytes_per_s=bytes_per_s)
+            for bytes_per_s in (500, 100)
         ]
         tokens.apply(
             0.0, 0.0, allocator_fixtures.make_response(1, 1, [], [rates[1]])
         )
-        late = allocator_fixtures.make_response(2, 1, [], [rates[0]])
-        self.assertFalse(tokens.apply(0.2, -0.1, late))
+        late_response = allocator_fixtures.make_response(2, 1, [], [rates[0]])
+        self.assertFalse(tokens.apply(0.2, -0.1, late_response))
         self.assertEqual(100, tokens.rate(0.2, 'a>b'))
 
-    def test_tokens_pay_for_the_granted_rate_only(self) -> None:
+    def test_tokens_allow_the_granted_rate_only(self) -> None:
         tokens = steering.LinkTokens(linger_s=1.0)
         rate = wire.LinkRate(name='a>b', bytes_per_s=1_000)
         tokens.apply(
             0.0, 0.0, allocator_fixtures.make_response(1, 1, [], [rate])
         )
-        taken = 0
+        consumed = 0
         for step in range(1, 2_001):
-            taken += tokens.consume(step / 1_000, 'a>b', 10_000)
-        self.assertLessEqual(taken, 2_000)
-        self.assertGreater(taken, 1_900)
+            consumed += tokens.consume(step / 1_000, 'a>b', 10_000)
+        self.assertLessEqual(consumed, 2_000)
+        self.assertGreater(consumed, 1_900)
         self.assertFalse(tokens.has_tokens(2.78, 'a>b'))
         self.assertGreater(tokens.consume(3.5, 'a>b', 10_000), 0)
         tokens.consume(9.0, 'a>b', 10_000)
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -1,4 +1,4 @@
-"""Tests of shifts, queue, retries, suspects, routes and look-ups."""
+"""Tests of shifts, queue, retries, suspects, routes and lookups."""
 
 import unittest
 
@@ -30,85 +30,87 @@
 
 
 class ShiftTest(unittest.TestCase):
-    """Guards against more moved traffic than the cap allows."""
+    """Guards against moving more traffic than the cap of a shift allows."""
 
-    def test_moved_share_meets_the_percent(self) -> None:
-        book = steering.ShiftLimiter('a')
-        book.update([make_shift(20.0)])
-        moved = 0
+    def test_moved_share_equals_the_percentage(self) -> None:
+        limiter = steering.ShiftLimiter('a')
+        limiter.update([make_shift(20.0)])
+        moved_count = 0
         for _ in range(1_000):
-            book.count_arrival('p')
-            if book.get_preferred_region('p') == 'b':
-                moved += book.try_acquire('p', 'b')
-        self.assertEqual(200, moved)
-
-    def test_spill_over_takes_credit_too(self) -> None:
-        book = steering.ShiftLimiter('a')
-        book.update([make_shift(20.0)])
-        self.assertEqual({'b'}, book.list_blocked_regions('p'))
-        self.assertFalse(book.try_acquire('p', 'b'))
-        self.assertTrue(book.try_acquire('p', 'c'))
-        self.assertEqual(frozenset(), book.list_blocked_regions('q'))
+            limiter.count_arrival('p')
+            if limiter.get_preferred_region('p') == 'b':
+                moved_count += limiter.try_acquire('p', 'b')
+        self.assertEqual(200, moved_count)
+
+    def test_spillover_costs_credit_too(self) -> None:
+        limiter = steering.ShiftLimiter('a')
+        limiter.update([make_shift(20.0)])
+        self.assertEqual({'b'}, limiter.list_blocked_regions('p'))
+        self.assertFalse(limiter.try_acquire('p', 'b'))
+        self.assertTrue(limiter.try_acquire('p', 'c'))
+        self.assertEqual(frozenset(), limiter.list_blocked_regions('q'))
 
     def test_credit_is_bounded(self) -> None:
-        book = steering.ShiftLimiter('a')
-        book.update([make_shift(50.0)])
+        limiter = steering.ShiftLimiter('a')
+        limiter.update([make_shift(50.0)])
         for _ in range(1_000):
-            book.count_arrival('p')
+            limiter.count_arrival('p')
         self.assertEqual(
-            10, sum(book.try_acquire('p', 'b') for _ in range(20))
+            10, sum(limiter.try_acquire('p', 'b') for _ in range(20))
         )
 
-    def test_refund_gives_one_placement_back(self) -> None:
-        book = steering.ShiftLimiter('a')
-        book.update([make_shift(50.0)])
-        book.count_arrival('p')
-        book.count_arrival('p')
-        self.assertTrue(book.try_acquire('p', 'b'))
-        book.refund('p', 'b')
-        self.assertTrue(book.try_acquire('p', 'b'))
-        self.assertFalse(book.try_acquire('p', 'b'))
+    def test_refund_allows_one_more_placement(self) -> None:
+        limiter = steering.ShiftLimiter('a')
+        limiter.update([make_shift(50.0)])
+        limiter.count_arrival('p')
+        limiter.count_arrival('p')
+        self.assertTrue(limiter.try_acquire('p', 'b'))
+        limiter.refund('p', 'b')
+        self.assertTrue(limiter.try_acquire('p', 'b'))
+        self.assertFalse(limiter.try_acquire('p', 'b'))
 
     def test_change_of_other_rows_keeps_the_credit(self) -> None:
-        book = steering.ShiftLimiter('a')
-        book.update([make_shift(50.0)])
-        book.count_arrival('p')
-        book.update([make_shift(50.0), make_shift(10.0, name='t', pool='q')])
-        book.count_arrival('p')
-        self.assertEqual('b', book.get_preferred_region('p'))
-
-    def test_only_shifts_in_force_from_the_own_region_bind(self) -> None:
-        book = steering.ShiftLimiter('a')
+        limiter = steering.ShiftLimiter('a')
+        limiter.update([make_shift(50.0)])
+        limiter.count_arrival('p')
+        limiter.update(
+            [make_shift(50.0), make_shift(10.0, name='t', pool='q')]
+        )
+        limiter.count_arrival('p')
+        self.assertEqual('b', limiter.get_preferred_region('p'))
+
+    def test_only_shifts_in_force_from_the_own_region_apply(self) -> None:
+        limiter = steering.ShiftLimiter('a')
         for shift in (
             make_shift(20.0, wire.ShiftState.PLANNED),
             make_shift(20.0, wire.ShiftState.DONE),
             make_shift(20.0, from_region='c'),
         ):
-            book.update([shift])
-            self.assertEqual(frozenset(), book.list_blocked_regions('p'))
-            self.assertTrue(book.try_acquire('p', 'b'))
-        book.update([make_shift(20.0, wire.ShiftState.HELD)])
-        self.assertEqual({'b'}, book.list_blocked_regions('p'))
+            limiter.update([shift])
+            self.assertEqual(frozenset(), limiter.list_blocked_regions('p'))
+            self.assertTrue(limiter.try_acquire('p', 'b'))
+        limiter.update([make_shift(20.0, wire.ShiftState.HELD)])
+        self.assertEqual({'b'}, limiter.list_blocked_regions('p'))
 
     def test_percent_above_the_cap_counts_as_the_cap(self) -> None:
-        book = steering.ShiftLimiter('a')
-        book.update([make_shift(100.0, cap_percent=10.0)])
+        limiter = steering.ShiftLimiter('a')
+        limiter.update([make_shift(100.0, cap_percent=10.0)])
         for _ in range(19):
-            book.count_arrival('p')
-        self.assertTrue(book.try_acquire('p', 'b'))
-        self.assertFalse(book.try_acquire('p', 'b'))
+            limiter.count_arrival('p')
+        self.assertTrue(limiter.try_acquire('p', 'b'))
+        self.assertFalse(limiter.try_acquire('p', 'b'))
 
 
 class ShiftMachine(stateful.RuleBasedStateMachine):
-    """Several entries, updates in any order, refunds and ramps."""
+    """Random arrivals, updates, placements, refunds and restarts."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.books = [steering.ShiftLimiter('a') for _ in range(3)]
+        self.limiters = [steering.ShiftLimiter('a') for _ in range(3)]
         self.percents = [0.0, 0.0, 0.0]
-        self.allowed = 0.0
-        self.moved = 0
-        self.taken = [0, 0, 0]
+        self.allowed_moves = 0.0
+        self.moved_count = 0
+        self.placed_counts = [0, 0, 0]
 
     @stateful.rule(
         entry=strategies.integers(0, 2),
@@ -120,7 +122,7 @@
     def update(
         self, entry: int, percent: float, state: wire.ShiftState
     ) -> None:
-        self.books[entry].update([make_shift(percent, state)])
+        self.limiters[entry].update([make_shift(percent, state)])
         self.percents[entry] = percent
 
     @stateful.rule(
@@ -128,37 +130,37 @@
     )
     def arrive(self, entry: int, count: int) -> None:
         for _ in range(count):
-            self.books[entry].count_arrival('p')
-            self.allowed += self.percents[entry] / 100.0
-            if self.books[entry].get_preferred_region('p') and count % 3:
+            self.limiters[entry].count_arrival('p')
+            self.allowed_moves += self.percents[entry] / 100.0
+            if self.limiters[entry].get_preferred_region('p') and count % 3:
                 self.place(entry)
 
     @stateful.rule(entry=strategies.integers(0, 2))
-    def spill(self, entry: int) -> None:
+    def spill_over(self, entry: int) -> None:
         if self.percents[entry]:
             self.place(entry)
 
     def place(self, entry: int) -> None:
-        if self.books[entry].try_acquire('p', 'b'):
-            self.moved += 1
-            self.taken[entry] += 1
+        if self.limiters[entry].try_acquire('p', 'b'):
+            self.moved_count += 1
+            self.placed_counts[entry] += 1
 
     @stateful.rule(entry=strategies.integers(0, 2))
     def refund(self, entry: int) -> None:
-        if self.taken[entry]:
-            self.books[entry].refund('p', 'b')
-            self.taken[entry] -= 1
-            self.moved -= 1
+        if self.placed_counts[entry]:
+            self.limiters[entry].refund('p', 'b')
+            self.placed_counts[entry] -= 1
+            self.moved_count -= 1
 
     @stateful.rule(entry=strategies.integers(0, 2))
     def restart(self, entry: int) -> None:
-        self.books[entry] = steering.ShiftLimiter('a')
-        self.books[entry].update([make_shift(self.percents[entry])])
-        self.taken[entry] = 0
+        self.limiters[entry] = steering.ShiftLimiter('a')
+        self.limiters[entry].update([make_shift(self.percents[entry])])
+        self.placed_counts[entry] = 0
 
     @stateful.invariant()
-    def stays_below_the_cap(self) -> None:
-        assert self.moved <= self.allowed + 1e-6
+    def check_cap(self) -> None:
+        assert self.moved_count <= self.allowed_moves + 1e-6
 
 
 ShiftMachineTest = ShiftMachine.TestCase
@@ -168,7 +170,7 @@
 
 
 class QueueTest(unittest.TestCase):
-    """Guards against unbounded, unfair and hopeless waiting."""
+    """Guards against an unbounded queue, wrong order and missed deadlines."""
 
     def setUp(self) -> None:
         self.queue: steering.RequestQueue[str] = steering.RequestQueue(3)
@@ -178,7 +180,7 @@
     ) -> steering.Admission[str]:
         return self.queue.push(0.0, item, priority, deadline, 0.1)
 
-    def drain(self) -> list[str]:
+    def pop_all(self) -> list[str]:
         items = []
         while (ticket := self.queue.pop()) is not None:
             items.append(ticket.item)
@@ -188,7 +190,7 @@
         self.push('late', 0, 9.0)
         self.push('low', 1, 1.0)
         self.push('early', 0, 5.0)
-        self.assertEqual(['early', 'late', 'low'], self.drain())
+        self.assertEqual(['early', 'late', 'low'], self.pop_all())
 
     def test_request_that_cannot_finish_is_refused(self) -> None:
         refused = self.push('x', 0, 0.05)
@@ -208,7 +210,7 @@
         admitted = self.push('d', 0, 9.0)
         assert admitted.evicted is not None
         self.assertEqual('b', admitted.evicted.item)
-        self.assertEqual(['d', 'a', 'c'], self.drain())
+        self.assertEqual(['d', 'a', 'c'], self.pop_all())
 
     def test_cancelled_request_is_not_served(self) -> None:
         ticket = self.push('a', 0, 5.0).ticket
@@ -216,9 +218,9 @@
         self.push('b', 0, 6.0)
         self.assertTrue(self.queue.cancel(ticket))
         self.assertFalse(self.queue.cancel(ticket))
-        self.assertEqual(['b'], self.drain())
+        self.assertEqual(['b'], self.pop_all())
 
-    def test_waiting_requests_become_late(self) -> None:
+    def test_late_requests_are_removed(self) -> None:
         self.push('a', 0, 1.0)
         self.push('b', 1, 5.0)
         late = self.queue.remove_late(0.95, 0.1)
@@ -226,7 +228,7 @@
         next_ticket = self.queue.peek()
         assert next_ticket is not None
         self.assertEqual('b', next_ticket.item)
-        self.assertEqual(['b'], self.drain())
+        self.assertEqual(['b'], self.pop_all())
 
     def test_many_cancelled_requests_take_no_memory(self) -> None:
         queue: steering.RequestQueue[int] = steering.RequestQueue(10)
@@ -238,7 +240,7 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Guards against retries that multiply the load."""
+    """Guards against retries that multiply the load on targets."""
 
     def test_retries_stay_within_the_ratio(self) -> None:
         budget = steering.RetryBudget(0.1)
@@ -249,7 +251,7 @@
         self.assertLessEqual(retries, 101)
         self.assertGreater(retries, 95)
 
-    def test_a_quiet_time_saves_only_a_few(self) -> None:
+    def test_idle_time_saves_up_only_a_few_retries(self) -> None:
         budget = steering.RetryBudget(0.1)
         for _ in range(10_000):
             budget.count_request()
@@ -257,7 +259,7 @@
 
 
 class SuspectTest(unittest.TestCase):
-    """Guards against a request that crashes target after target."""
+    """Guards against a request that crashes one target after another."""
 
     def setUp(self) -> None:
         self.table = steering.SuspectTable()
@@ -265,7 +267,7 @@
     def strike(self, now: float, name: str, target: str) -> object:
         return self.table.strike(now, steering.Strike(name, target))
 
-    def test_two_targets_quarantine_for_ten_minutes(self) -> None:
+    def test_strikes_on_two_targets_quarantine_for_ten_minutes(self) -> None:
         state = steering.SuspectState
         self.assertIs(state.CLEAR, self.table.get_state(0.0, 'f'))
         self.assertIs(state.SUSPECT, self.strike(0.0, 'f', 't1'))
@@ -304,7 +306,7 @@
         self.table.finish('f', 't2')
         self.assertTrue(self.table.try_start(1.0, 'g', 't2'))
 
-    def test_full_answer_clears_the_strikes(self) -> None:
+    def test_complete_response_clears_the_strikes(self) -> None:
         self.strike(0.0, 'f', 't1')
         self.assertTrue(self.table.clear('f'))
         self.assertFalse(self.table.clear('f'))
@@ -319,7 +321,7 @@
         self.table.expire(600.0)
         self.assertEqual(0, len(self.table._suspects))
 
-    def test_fingerprint_tells_requests_apart(self) -> None:
+    def test_fingerprint_distinguishes_requests(self) -> None:
         make = steering.compute_fingerprint
         base = make(None, 'GET', 'h', '/p', b'body')
         self.assertEqual(base, make(None, 'GET', 'h', '/p', b'body'))
@@ -342,7 +344,7 @@
 
 
 class RouteTest(unittest.TestCase):
-    """Guards against a request that goes to the wrong pool."""
+    """Guards against requests routed to the wrong pool."""
 
     def setUp(self) -> None:
         rows = [
@@ -390,7 +392,7 @@
             'cart-put', self.match('shop.example', '/cart/item', 'PUT')
         )
 
-    def test_refusals_tell_the_reason(self) -> None:
+    def test_refusal_has_the_error_kind(self) -> None:
         index = steering.compile_routes(
             [
                 wire.Route(
@@ -410,10 +412,10 @@
 
 
 class LookupTest(unittest.TestCase):
-    """Guards against look-up answers that send callers astray."""
+    """Guards against lookup responses with entries unfit for the caller."""
 
     def make_rows(self) -> list[wire.EntryRow]:
-        places = ['a1', 'a1', 'a2', 'b1', 'b2', 'c1', 'a2']
+        entry_domains = ['a1', 'a1', 'a2', 'b1', 'b2', 'c1', 'a2']
         return [
             wire.EntryRow(
                 info=wire.EntryInfo(
@@ -428,11 +430,11 @@
                 draining=number == 6,
                 alive=number != 5,
             )
-            for number, domain in enumerate(places)
+            for number, domain in enumerate(entry_domains)
         ]
 
     def test_own_region_comes_first_in_alternating_domains(self) -> None:
-        firsts = set()
+        first_entries = set()
         for caller in range(50):
             infos = steering.order_entries(
                 self.make_rows(), 'a', f'10.0.0.{caller}'
@@ -442,8 +444,8 @@
             self.assertEqual({'e3', 'e4'}, set(names[3:]))
             domains = [info.failure_domain for info in infos[:2]]
             self.assertEqual({'a1', 'a2'}, set(domains))
-            firsts.add(names[0])
-        self.assertEqual({'e0', 'e1', 'e2'}, firsts)
+            first_entries.add(names[0])
+        self.assertEqual({'e0', 'e1', 'e2'}, first_entries)
 
     def test_drained_entries_are_left_out(self) -> None:
         infos = steering.order_entries(self.make_rows(), 'a', '', ['e2'])
