--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -47,7 +47,7 @@
     A new allocator is made at the start of each term as leader, when the
     leader lease of every former leader has ended. The caller must hold a
     valid leader lease when it calls `issue_grants`. It must pass each
-    request to `report` before it responds to it::
+    sync request to `report` before it sends the response::
 
         allocator = steering.Allocator(now, term)
         allocator.report(now, request)
@@ -56,11 +56,11 @@
 
     `former_holders` names the incarnations of entries that may hold grants
     of a former leader. Until all of them have acknowledged grants of this
-    term or the grants of the former leader have expired, entries only have
-    the amounts renewed that they report to hold. After that, amounts that
-    no entry has confirmed are reserved until the requests of entries that
-    never reported must have ended. Without `former_holders`, any number of
-    unknown entries is assumed.
+    term or the grants of the former leader have expired, an entry only gets
+    the amounts that it reports to hold. After that, amounts that no entry
+    has confirmed are reserved until the requests of entries that never
+    reported must have ended. Without `former_holders`, any number of unknown
+    entries is assumed.
     """
 
     def __init__(
@@ -130,13 +130,13 @@
             for key, holder in self._ledger.holders.items()
             if _demand.is_entry_drained(holder, drains_in_force)
         }
-        open_targets = [
+        usable_targets = [
             row
             for row in self._targets.values()
             if _demand.is_usable(now, row, drains_in_force)
         ]
         self._unusable_targets = self._targets.keys() - {
-            row.report.target for row in open_targets
+            row.report.target for row in usable_targets
         }
         for holder in self._ledger.holders.values():
             holder.planned = {}
@@ -144,7 +144,7 @@
             self._plan_pool(
                 now,
                 pool,
-                open_targets,
+                usable_targets,
                 live_holders,
                 drained_keys,
                 list(shifts),
@@ -256,12 +256,12 @@
             for row in targets
             if row.report.pool == pool.name
         ]
-        usable_targets = {capacity.target for capacity in capacities}
+        pool_targets = {capacity.target for capacity in capacities}
         claimants = [
             _demand.make_claimant(
                 holder,
                 pool,
-                usable_targets,
+                pool_targets,
                 _make_holder_key(holder) in drained_keys,
                 shifts,
             )
@@ -337,7 +337,7 @@
         self, live_holders: Iterable[_ledger.Holder]
     ) -> set[ids.TargetId]:
         """Return the targets on which starved entries wait for slots."""
-        contested = set()
+        contested_targets = set()
         for holder in live_holders:
             starved_pools = self._find_starved_pools(holder)
             if not starved_pools:
@@ -352,8 +352,8 @@
                     planned > charged + free
                     and self._find_pool(target) in starved_pools
                 ):
-                    contested.add(target)
-        return contested
+                    contested_targets.add(target)
+        return contested_targets
 
     def _find_starved_pools(self, holder: _ledger.Holder) -> set[ids.PoolName]:
         """Return the pools in which an entry wants more slots than it has."""
--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a target for one request."""
+"""Choice of a target for one request, within slot grants."""
 
 from collections.abc import Collection
 from collections.abc import Iterable
@@ -212,7 +212,7 @@
     rows: Collection[membership.MirroredTarget],
     outcomes: _outcomes.OutcomeTable,
 ) -> dict[ids.TargetId, float]:
-    """Return the share of the cost that does not depend on slots in use."""
+    """Return the part of the cost that does not depend on slots in use."""
     loads = _estimate_loads(now, rows)
     outcomes_by_target = {
         row.report.target: outcomes.get(now, row.report.target) for row in rows
@@ -224,17 +224,21 @@
     ]
     median = statistics.median(latencies) if latencies else 0.0
     costs: dict[ids.TargetId, float] = {}
-    for target, outcome in outcomes_by_target.items():
-        confidence = outcome.count / (outcome.count + HALF_CONFIDENCE_COUNT)
+    for target, target_outcomes in outcomes_by_target.items():
+        confidence = target_outcomes.count / (
+            target_outcomes.count + HALF_CONFIDENCE_COUNT
+        )
         ratio = 1.0
-        if median > 0.0 and outcome.latency_s > 0.0:
-            ratio = min(MAX_LATENCY_RATIO, outcome.latency_s / median)
-        latency = confidence * ratio + (1.0 - confidence)
-        report = (
+        if median > 0.0 and target_outcomes.latency_s > 0.0:
+            ratio = min(MAX_LATENCY_RATIO, target_outcomes.latency_s / median)
+        latency_cost = confidence * ratio + (1.0 - confidence)
+        report_cost = (
             REPORTED_LOAD_WEIGHT * (1.0 - confidence / 2.0) * loads[target]
         )
-        failure_cost = FAILURE_WEIGHT * outcome.failure_share
-        costs[target] = pool.latency_weight * latency + report + failure_cost
+        failure_cost = FAILURE_WEIGHT * target_outcomes.failure_share
+        costs[target] = (
+            pool.latency_weight * latency_cost + report_cost + failure_cost
+        )
     return costs
 
 
@@ -252,19 +256,24 @@
         load = row.report.load
         if load is None or row.load_at is None:
             continue
-        trust = 0.5 ** max(0.0, now - row.load_at)
+        report_weight = 0.5 ** max(0.0, now - row.load_at)
         busy = max(0, load.busy_slots) + max(0, load.queued)
         share = min(1.0, busy / max(1, row.report.slots))
-        reported[row.report.target] = trust, share
-    total_trust = sum(trust for trust, _ in reported.values())
-    mean = DEFAULT_LOAD
-    if total_trust > 0.0:
-        mean = (
-            sum(trust * share for trust, share in reported.values())
-            / total_trust
+        reported[row.report.target] = report_weight, share
+    total_weight = sum(report_weight for report_weight, _ in reported.values())
+    mean_load = DEFAULT_LOAD
+    if total_weight > 0.0:
+        mean_load = (
+            sum(
+                report_weight * share
+                for report_weight, share in reported.values()
+            )
+            / total_weight
         )
     loads = {}
     for row in rows:
-        trust, share = reported.get(row.report.target, (0.0, 0.0))
-        loads[row.report.target] = trust * share + (1.0 - trust) * mean
+        report_weight, share = reported.get(row.report.target, (0.0, 0.0))
+        loads[row.report.target] = (
+            report_weight * share + (1.0 - report_weight) * mean_load
+        )
     return loads
--- a/fulmarseam/steering/_demand.py
+++ b/fulmarseam/steering/_demand.py
@@ -101,19 +101,19 @@
 def make_claimant(
     holder: _ledger.Holder,
     pool: wire.Pool,
-    usable_targets: Collection[ids.TargetId],
+    pool_targets: Collection[ids.TargetId],
     draining: bool,
     shifts: Sequence[wire.Shift],
 ) -> _plan.Claimant:
     """Return the row of an entry for one pool.
 
-    `members` are the usable targets of the pool.
+    `pool_targets` lists the usable targets of the pool.
     """
     info = holder.info
     held: dict[ids.TargetId, int] = {}
     in_flight: dict[ids.TargetId, int] = {}
     for target, use in holder.uses.items():
-        if target not in usable_targets:
+        if target not in pool_targets:
             continue
         if use.in_flight:
             in_flight[target] = use.in_flight
@@ -121,7 +121,7 @@
             held[target] = use.allowance
     if holder.last_issued is not None:
         for target, amount in holder.last_issued.amounts.items():
-            if target in usable_targets:
+            if target in pool_targets:
                 held[target] = amount.slots
     return _plan.Claimant(
         key=(info.entry, info.incarnation),
--- a/fulmarseam/steering/_ledger.py
+++ b/fulmarseam/steering/_ledger.py
@@ -48,7 +48,7 @@
     """One incarnation of an entry: its last report and its charges.
 
     `wanted` counts the slots wanted at the last report and `recent_wanted`
-    is its maximum, which decays over time. `last_ack` is the (term,
+    is its recent maximum, which decays. `last_ack` is the (term,
     sequence) of the last acknowledged grants. `unacknowledged` lists the
     grants issued after those; the entry may hold any of them. `expires_at`
     is when all grants that it may hold have expired.
--- a/fulmarseam/steering/_limits.py
+++ b/fulmarseam/steering/_limits.py
@@ -14,9 +14,9 @@
     `former_holders` names the incarnations that may hold them; without it,
     any number of unknown holders is assumed. Until all of them have
     acknowledged grants of this term or those grants have expired, a holder
-    only has the amounts renewed that it reports to hold. After that, amounts
-    that no holder has confirmed are reserved until all requests dispatched
-    under grants of the former leader must have ended.
+    only gets the amounts that it reports to hold. After that, amounts that
+    no holder has confirmed are reserved until all requests dispatched under
+    grants of the former leader must have ended.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
             self._unconfirmed_holders.discard(key)
 
     def is_renewal_only(self, now: float) -> bool:
-        """Return whether holders only get their reported amounts renewed.
+        """Return whether holders only get the amounts that they report.
 
         This is so while unconfirmed entries may hold unexpired grants.
         """
--- a/fulmarseam/steering/_links.py
+++ b/fulmarseam/steering/_links.py
@@ -1,4 +1,4 @@
-"""An entry's share of the links between regions."""
+"""Token buckets for an entry's share of the links between regions."""
 
 import dataclasses
 import math
@@ -33,7 +33,7 @@
         self._linger_s = linger_s
         self._clock_drift = clock_drift
         self._buckets: dict[str, _Bucket] = {}
-        self._last_applied = (0, 0)
+        self._applied_version = (0, 0)
         self._applied_at = -math.inf
 
     def apply(
@@ -45,15 +45,15 @@
         the last one applied, or if it is the first of a new term and rates
         were applied after its request was sent, as in `SlotTracker`.
         """
-        order = response.term, response.grant_sequence
-        if order <= self._last_applied:
+        grant_version = response.term, response.grant_sequence
+        if grant_version <= self._applied_version:
             return False
         if (
-            response.term != self._last_applied[0]
+            response.term != self._applied_version[0]
             and sent_at <= self._applied_at
         ):
             return False
-        self._last_applied = order
+        self._applied_version = grant_version
         self._applied_at = now
         rates = {link.name: link.bytes_per_s for link in response.links}
         ttl_s = response.grant_ttl_ms / 1_000
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -20,9 +20,9 @@
 # Weight of the newest outcome in the moving average of a failure rate.
 OUTCOME_WEIGHT = 0.1
 # From this failure rate on, a target is used only if no better one is free.
-# Exempt is a target whose failure rate is below this multiple of the mean of
-# its pool: another target would fail about as often, and only the preferred
-# one may have the object of the request cached.
+# A target whose failure rate is below this multiple of its pool's mean is
+# exempt: another target would fail about as often, and only this one may have
+# the object of the request cached.
 DOUBTFUL_FAILURE_RATE = 0.25
 DOUBTFUL_POOL_RATE_FACTOR = 1.5
 # A target with requests in flight is silent after this many of its mean
@@ -35,8 +35,8 @@
 INITIAL_SERVICE_S = 0.5
 # Timeout of an attempt in mean service times of its target. A request for an
 # object that the target has not cached takes three to four times the mean.
-# The timeout applies only after this many responses, as the mean cannot tell
-# a late response from a slow one before.
+# No such timeout applies to the first responses of a target, as the mean of
+# so few cannot tell a late response from a slow one.
 ATTEMPT_TIMEOUT_SERVICE_TIMES = 6.0
 ATTEMPT_TIMEOUT_MIN_S = 0.5
 ATTEMPT_TIMEOUT_MIN_RESPONSES = 10
@@ -120,7 +120,7 @@
 def compute_attempt_timeout(
     target: ObservedTarget, time_left_s: float
 ) -> float:
-    """Return the time after which to try another target instead.
+    """Return the seconds after which to try another target instead.
 
     This is all of the time left if it does not allow another attempt.
     """
@@ -185,7 +185,7 @@
 
 
 def is_doubtful(target: ObservedTarget, pool_failure_rate: float) -> bool:
-    """Return whether a target fails more requests than its pool.
+    """Return whether a target fails far more requests than its pool.
 
     `pool_failure_rate` is the mean failure rate of the pool.
     """
--- a/fulmarseam/steering/_outcomes.py
+++ b/fulmarseam/steering/_outcomes.py
@@ -7,7 +7,7 @@
 
 from fulmarseam import ids
 
-# Half-life of the count and the failure share without newer outcomes.
+# Half-life of the count and the failure share of a target's outcomes.
 OUTCOME_HALF_LIFE_S = 10.0
 # Weight of a new outcome in the moving averages.
 OUTCOME_WEIGHT = 0.1
--- a/fulmarseam/steering/_placement.py
+++ b/fulmarseam/steering/_placement.py
@@ -53,17 +53,18 @@
     an object: only that many usable targets are considered, and each step
     down in preference costs as much as `UNCACHED_COST_ROUNDS` of queue,
     since a less preferred target does not have the object cached. A doubtful
-    target is chosen only if it is free and no sound target is free, or, for
-    an object, none has a queue of at most `UNCACHED_COST_ROUNDS`.
+    target is chosen only if it is free and no healthy target is; for an
+    object, also no healthy target may have a queue of at most
+    `UNCACHED_COST_ROUNDS`.
     """
-    sound_count = 0
+    healthy_count = 0
     doubtful: _observed.ObservedTarget | None = None
     best: _observed.ObservedTarget | None = None
     best_wait = best_cost = 0.0
     for target in targets:
         if _observed.is_ejected(target, now) or not may_send(target):
             continue
-        if sound_count == max_choices:
+        if healthy_count == max_choices:
             break
         wait = _estimate_wait(target, now)
         if _observed.is_doubtful(target, pool_failure_rate):
@@ -72,8 +73,8 @@
             continue
         cost = wait
         if max_choices is not None:
-            cost += sound_count * UNCACHED_COST_ROUNDS
-        sound_count += 1
+            cost += healthy_count * UNCACHED_COST_ROUNDS
+        healthy_count += 1
         if not cost:
             return Placement(target, SlotAvailability.FREE)
         if best is None or cost < best_cost:
--- a/fulmarseam/steering/_plan.py
+++ b/fulmarseam/steering/_plan.py
@@ -15,7 +15,7 @@
 from fulmarseam import ids
 from fulmarseam.steering import _ledger
 
-# Share of the spare slots, which no entry asks for, that is granted in
+# Share of the spare slots (those that no entry asks for) that is granted in
 # advance. The leader keeps the rest for entries whose demand grows.
 SPARE_SHARE = 0.75
 # Slots that an entry keeps in excess of its part of the spare slots, so that
@@ -38,12 +38,11 @@
     """An entry that claims slots of the pool.
 
     `wanted` counts the slots that it wants now and `recent_wanted` those
-    that it wanted recently. `held` counts the slots that it may use by
-    target and `in_flight` its running requests. `avoided` lists targets
+    that it wanted recently. `held` and `in_flight` count, by target, the
+    slots that it may use and its running requests. `avoided` lists targets
     that fail its requests. `shift_shares` lists the regions that shifts
-    send part of its requests to, each with this part. `quota` counts the
-    slots that its demand entitles it to and `placed_slots` those that are
-    in `plan` already.
+    move its requests to, each with the share that moves. `quota` is its
+    share of all slots and `placed_slots` counts those placed in `plan`.
     """
 
     key: _ledger.HolderKey
@@ -173,11 +172,11 @@
     for claimant in claimants:
         for region, share in claimant.shift_shares:
             capacities = by_region.get(region, [])
-            planned_there = sum(
+            planned_in_region = sum(
                 claimant.plan.get(capacity.target, 0)
                 for capacity in capacities
             )
-            wanted = math.ceil(share * claimant.quota) - planned_there
+            wanted = math.ceil(share * claimant.quota) - planned_in_region
             limit = claimant.placed_slots + min(
                 wanted, _count_unplaced(claimant)
             )
@@ -204,11 +203,11 @@
         for claimant in claimants
     }
     for capacities in (domains, regions):
-        for place_in in (_keep_held, _spread_evenly):
+        for place_demand in (_keep_held, _spread_evenly):
             for claimant in claimants:
                 limit = limits[claimant.key]
                 if claimant.placed_slots < limit:
-                    place_in(claimant, capacities[claimant.key], limit)
+                    place_demand(claimant, capacities[claimant.key], limit)
 
 
 def _place_in_other_regions(
@@ -217,7 +216,7 @@
     has_link: LinkCheck,
 ) -> None:
     """Place the demand for which the own region has no free slots."""
-    for place_in in (_keep_held, _spread_evenly):
+    for place_demand in (_keep_held, _spread_evenly):
         for claimant in claimants:
             if not _count_unplaced(claimant):
                 continue
@@ -228,7 +227,7 @@
                 and has_link(claimant.region, region)
                 for capacity in group
             ]
-            place_in(claimant, capacities, claimant.quota)
+            place_demand(claimant, capacities, claimant.quota)
 
 
 def _place_spare(
--- a/fulmarseam/steering/_shifts.py
+++ b/fulmarseam/steering/_shifts.py
@@ -22,7 +22,7 @@
         self.credit = 0.0
 
     def count_arrival(self, percent: float) -> None:
-        """Count an arriving request of which `percent` may be moved."""
+        """Count an arriving request while `percent` of them may be moved."""
         self.credit = min(MAX_CREDIT, self.credit + percent / 100.0)
 
     def has_credit(self) -> bool:
--- a/fulmarseam/steering/_slots.py
+++ b/fulmarseam/steering/_slots.py
@@ -45,12 +45,12 @@
         after its request was sent: a new leader renews the grants reported
         in the request, which may have been withdrawn in the meantime.
         """
-        order = response.term, response.grant_sequence
-        if order <= (self.ack_term, self.ack_sequence):
+        grant_version = response.term, response.grant_sequence
+        if grant_version <= (self.ack_term, self.ack_sequence):
             return False
         if response.term != self.ack_term and sent_at <= self._applied_at:
             return False
-        self.ack_term, self.ack_sequence = order
+        self.ack_term, self.ack_sequence = grant_version
         self._applied_at = now
         granted = {grant.target: grant for grant in response.grants}
         for target in list(self._held):
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -434,7 +434,7 @@
     """
 
     def _compute_load(self, slots: dict[str, int]) -> dict[str, float]:
-        """Return the load of each region's slots relative to the mean."""
+        """Return the load of each region's slots, where 1.0 is the mean."""
         regions = {
             fixtures.region(name): count for name, count in slots.items()
         }
