--- a/fulmarseam/client/__init__.py
+++ b/fulmarseam/client/__init__.py
@@ -1,8 +1,8 @@
-"""Helpers to embed in callers and targets.
+"""Client library to embed in callers and targets.
 
-A caller looks up its entries, keeps the answer for its lifetime, and sends
-each call to the next entry only when it is known not to have run. A target
-announces itself, renews, and leaves::
+A caller looks up its entries, caches the answer for its TTL, and tries the
+next entry only when the call is known not to have run. A target announces
+itself, renews the announcement, and announces that it leaves::
 
     async with client.Caller(['127.0.0.1:8001'], 'ost') as caller:
         request = client.Request('GET', 'katalog.example', '/list')
--- a/fulmarseam/client/_announcer.py
+++ b/fulmarseam/client/_announcer.py
@@ -1,4 +1,4 @@
-"""Announcements of a target."""
+"""Announcement of a target to the entries."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from fulmarseam.client import _exchange
 
 ANNOUNCE_TIMEOUT_S = 0.5
-LEAVE_TRIES = 5
+MAX_LEAVE_ATTEMPTS = 5
 
 _log = logbook.Logger('announcer')
 
@@ -20,21 +20,21 @@
 class Announcer:
     """Announces a target until it leaves.
 
-    `describe` returns the report to send; the announcer numbers it. Each
-    renewal goes to one entry, and to the next ones when that entry does
-    not take it.
+    `make_report` returns the report to send; the announcer sets its sequence
+    number. Each renewal goes to one entry; the other entries are tried in
+    turn until one confirms it.
     """
 
     def __init__(
         self,
         apis: Sequence[str],
-        describe: Callable[[], wire.TargetReport],
+        make_report: Callable[[], wire.TargetReport],
         renew_s: float,
         leave_apis: Sequence[str] = (),
     ) -> None:
         self._apis = list(apis)
         self._leave_apis = list(leave_apis) or list(apis)
-        self._describe = describe
+        self._make_report = make_report
         self._renew_s = renew_s
         self._sequence = 0
         self._http_client = _exchange.HttpClient()
@@ -49,9 +49,9 @@
             await asyncio.sleep(next_time - loop.time())
 
     async def announce(self) -> bool:
-        """Announce once; return whether the leader has it."""
+        """Announce once; return whether the control leader has received it."""
         for api in list(self._apis):
-            if await self._post(api, self._describe()):
+            if await self._post(api, self._make_report()):
                 return True
             self._apis.remove(api)
             self._apis.append(api)
@@ -59,18 +59,18 @@
         return False
 
     async def leave(self) -> bool:
-        """Announce leaving to all entries at once.
+        """Announce to all entries at once that the target leaves.
 
-        Tries again until one entry says that the leader has it. Returns
-        whether one did.
+        Retries until one entry confirms that the control leader has received
+        the announcement. Returns whether one did.
         """
-        for _ in range(LEAVE_TRIES):
+        for _ in range(MAX_LEAVE_ATTEMPTS):
             report = msgspec.structs.replace(
-                self._describe(), state=wire.TargetState.LEAVING
+                self._make_report(), state=wire.TargetState.LEAVING
             )
             posts = [self._post(api, report) for api in self._leave_apis]
-            taken = await asyncio.gather(*posts)
-            if any(taken):
+            confirmed = await asyncio.gather(*posts)
+            if any(confirmed):
                 return True
             await asyncio.sleep(self._renew_s / 4)
         return False
--- a/fulmarseam/client/_caller.py
+++ b/fulmarseam/client/_caller.py
@@ -1,4 +1,4 @@
-"""Calls through the entries."""
+"""Calls to targets through the entries."""
 
 import asyncio
 from collections.abc import Sequence
@@ -13,15 +13,15 @@
 from fulmarseam.client import _exchange
 from fulmarseam.client import _lookup
 
-RANDOM_BYTES = 16
+REQUEST_ID_RANDOM_BYTES = 16
 # The entry ends a request at its deadline; the caller waits a little longer
-# for the answer that says so.
-ANSWER_GRACE_S = 1.0
-# Share of the calls that may be sent to another entry after a refusal for
-# lack of room. In an overload every entry refuses, and a call sent to each
-# of them would multiply the load.
+# to receive the error response for it.
+RESPONSE_GRACE_S = 1.0
+# Share of the calls that may be retried at another entry after a refusal for
+# lack of capacity. In an overload every entry refuses, and retrying a call at
+# each of them would multiply the load.
 OVERLOAD_RETRY_RATIO = 0.1
-_OVERLOADED = frozenset(
+_OVERLOAD_KINDS = frozenset(
     {
         errors.ErrorKind.NO_CAPACITY,
         errors.ErrorKind.QUEUE_FULL,
@@ -33,9 +33,9 @@
 class Attempt(NamedTuple):
     """One attempt of a call at one entry.
 
-    Times are seconds of the monotonic clock. `status` is 0 when there was
-    no whole answer, `detail` then says why. `opened` and `started` are as
-    in `ExchangeError`.
+    Times are seconds of the monotonic clock. `status` is 0 when no complete
+    response was received; `detail` then gives the reason. `opened` and
+    `started` are as in `ExchangeError`.
     """
 
     entry: str
@@ -50,9 +50,9 @@
 
 
 class Result(NamedTuple):
-    """What is known of a call after its last attempt.
+    """What is known about a call after its last attempt.
 
-    `reply` is nothing when the last attempt got no whole answer.
+    `reply` is None when the last attempt got no complete response.
     """
 
     outcome: errors.Outcome
@@ -62,13 +62,13 @@
 
 
 class Caller:
-    """Sends calls through the entries that look-ups name.
+    """Sends calls through the entries listed in lookup answers.
 
-    A call goes to the next entry only when the attempt is known not to
-    have run, and after a refusal for lack of room only within a budget.
-    All attempts of a call carry the same request id. `address` is the IP
-    number that look-ups place the caller by; without it entries see that
-    of the connection::
+    The next entry is tried only when an attempt is known not to have run,
+    and after a refusal for lack of capacity only within a retry budget. All
+    attempts of a call carry the same request id. `address` is the caller's
+    IP address for lookups; without it entries use the address of the
+    connection::
 
         async with Caller(['127.0.0.1:8001'], 'ost') as caller:
             result = await caller.call(request, deadline_ms=2000, once=True)
@@ -79,7 +79,7 @@
     ) -> None:
         self._http_client = _exchange.HttpClient()
         self._lookup = _lookup.Lookup(apis, region, self._http_client, address)
-        self._budget = steering.RetryBudget(OVERLOAD_RETRY_RATIO)
+        self._retry_budget = steering.RetryBudget(OVERLOAD_RETRY_RATIO)
 
     async def __aenter__(self) -> Self:
         return self
@@ -90,7 +90,7 @@
     async def create_request_id(self) -> ids.RequestId:
         """Return a new request id, HOME.GENERATION.RANDOM.
 
-        Raises `errors.FulmarseamError` when no entry answers a look-up or
+        Raises `errors.FulmarseamError` when no entry answers a lookup or
         the answer names no record home.
         """
         answer = await self._lookup.get()
@@ -98,13 +98,13 @@
         if home is None:
             raise errors.FulmarseamError(
                 errors.ErrorKind.UNAVAILABLE,
-                'the look-up answer names no record home',
+                'the lookup answer names no record home',
             )
-        token = secrets.token_hex(RANDOM_BYTES)
+        token = secrets.token_hex(REQUEST_ID_RANDOM_BYTES)
         return ids.RequestId(f'{home.home}.{home.generation}.{token}')
 
     async def look_up(self) -> _lookup.LookupAnswer:
-        """Return the current look-up answer.
+        """Return the current lookup answer.
 
         Raises `errors.FulmarseamError` when no entry has ever answered.
         """
@@ -117,11 +117,12 @@
         once: bool = False,
         request_id: ids.RequestId | None = None,
     ) -> Result:
-        """Send a request and return what is known of it.
+        """Send a request and return what is known about it.
 
-        With `once` the request carries a request id, a new one unless the
-        id of an earlier call is given. Raises `errors.FulmarseamError`
-        when no entry answers a look-up; nothing was sent then.
+        With `once` the request carries a request id: `request_id` when it is
+        given (a retry of an earlier call), otherwise a new one. Raises
+        `errors.FulmarseamError` when no entry answers a lookup; in that case
+        nothing was sent.
         """
         deadline = time.monotonic() + deadline_ms / 1_000
         answer = await self._lookup.get()
@@ -129,24 +130,26 @@
             request_id = await self.create_request_id()
         attempts: list[Attempt] = []
         reply: _exchange.Reply | None = None
-        self._budget.count_request()
+        self._retry_budget.count_request()
         for entry in answer.entries:
-            left_s = deadline - time.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0:
                 break
             attempt, reply = await self._attempt(
-                entry.address, _stamp(request, request_id, left_s), left_s
+                entry.address,
+                _add_headers(request, request_id, remaining_s),
+                remaining_s,
             )
             attempts.append(attempt)
-            if not self._may_go_on(attempt):
+            if not self._may_try_next_entry(attempt):
                 break
         outcome = errors.Outcome.NOT_RUN
         if attempts:
             outcome = attempts[-1].outcome
         return Result(outcome, reply, request_id, attempts)
 
-    def _may_go_on(self, attempt: Attempt) -> bool:
-        """Return whether the next entry may be asked."""
+    def _may_try_next_entry(self, attempt: Attempt) -> bool:
+        """Return whether the call may be retried at the next entry."""
         if attempt.outcome is not errors.Outcome.NOT_RUN:
             return False
         if not attempt.kind:
@@ -157,15 +160,15 @@
             return False
         if errors.ANSWERS[kind].retry is not errors.Retry.OTHER_ENTRY:
             return False
-        return kind not in _OVERLOADED or self._budget.take()
+        return kind not in _OVERLOAD_KINDS or self._retry_budget.take()
 
     async def _attempt(
-        self, address: str, request: _exchange.Request, left_s: float
+        self, address: str, request: _exchange.Request, remaining_s: float
     ) -> tuple[Attempt, _exchange.Reply | None]:
         sent = time.monotonic()
         try:
             reply = await self._http_client.send(
-                address, request, left_s + ANSWER_GRACE_S
+                address, request, remaining_s + RESPONSE_GRACE_S
             )
         except _exchange.ExchangeError as error:
             attempt = Attempt(
@@ -186,7 +189,7 @@
 
 
 def read_outcome(reply: _exchange.Reply) -> errors.Outcome:
-    """Return the outcome that an answer declares, by default answered."""
+    """Return the outcome that a response declares, by default answered."""
     declared = reply.headers.get('fulmarseam-outcome')
     if declared is None:
         return errors.Outcome.ANSWERED
@@ -196,13 +199,13 @@
         return errors.Outcome.UNKNOWN
 
 
-def _stamp(
+def _add_headers(
     request: _exchange.Request,
     request_id: ids.RequestId | None,
-    left_s: float,
+    remaining_s: float,
 ) -> _exchange.Request:
     headers = dict(request.headers)
-    headers['Fulmarseam-Deadline-Ms'] = str(max(1, int(left_s * 1_000)))
+    headers['Fulmarseam-Deadline-Ms'] = str(max(1, int(remaining_s * 1_000)))
     if request_id is not None:
         headers['Idempotency-Key'] = request_id
     return request._replace(headers=headers)
@@ -212,16 +215,17 @@
     caller: Caller,
     request: _exchange.Request,
     deadline_ms: int,
-    tries: int,
+    max_calls: int,
     pause_s: float,
 ) -> list[Result]:
-    """Repeat an at-most-once call with its id until it is not unknown.
+    """Repeat an at-most-once call until its outcome is not unknown.
 
-    Returns the results of all tries in order.
+    All calls use the same request id; at most `max_calls` are made. Returns
+    their results in order.
     """
     results: list[Result] = []
     request_id = await caller.create_request_id()
-    for _ in range(tries):
+    for _ in range(max_calls):
         result = await caller.call(request, deadline_ms, True, request_id)
         results.append(result)
         if result.outcome is not errors.Outcome.UNKNOWN:
--- a/fulmarseam/client/_exchange.py
+++ b/fulmarseam/client/_exchange.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 exchanges of a caller, over h11."""
+"""HTTP/1.1 client over h11."""
 
 import asyncio
 from collections.abc import Mapping
@@ -14,12 +14,12 @@
 READ_BYTES = 65_536
 MAX_IDLE_PER_ADDRESS = 64
 # Shorter than the idle timeout of an entry, so that the entry does not close
-# a connection while a request is on its way.
+# a connection on which a request has just been sent.
 MAX_IDLE_S = 4.0
 
 
 class Reply(NamedTuple):
-    """A whole answer. Header names are in lower case."""
+    """A complete response. Header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -27,11 +27,11 @@
 
 
 class ExchangeError(Exception):
-    """An exchange ended without a whole answer.
+    """An exchange ended without a complete response.
 
     `opened` is false when no connection could be opened, so that the
-    request cannot have run. `started` is true when the answer broke off
-    after its head.
+    request cannot have run. `started` is true when the response ended
+    early after its head.
     """
 
     def __init__(self, detail: str, opened: bool, started: bool) -> None:
@@ -41,14 +41,14 @@
 
     @property
     def outcome(self) -> errors.Outcome:
-        """Return what is known about the request."""
+        """Return whether the request may have run: unknown or not run."""
         if self.opened:
             return errors.Outcome.UNKNOWN
         return errors.Outcome.NOT_RUN
 
 
 class Request(NamedTuple):
-    """A request as it is sent to one address."""
+    """A request to send to one address."""
 
     method: str
     host: str
@@ -65,16 +65,16 @@
     ) -> None:
         self._reader = reader
         self._writer = writer
-        self._state = h11.Connection(h11.CLIENT)
-        self.started = False
+        self._h11 = h11.Connection(h11.CLIENT)
+        self.response_started = False
         self.idle_since = 0.0
 
     async def exchange(self, request: Request) -> Reply:
-        self.started = False
+        self.response_started = False
         self._writer.write(self._encode(request))
         await self._writer.drain()
         response = await self._read_head()
-        self.started = True
+        self.response_started = True
         body = await self._read_body()
         headers = {
             name.decode('latin-1'): value.decode('latin-1')
@@ -91,10 +91,10 @@
             target=request.path,
             headers=list(headers.items()),
         )
-        parts = [self._state.send(head)]
+        parts = [self._h11.send(head)]
         if request.body:
-            parts.append(self._state.send(h11.Data(data=request.body)))
-        parts.append(self._state.send(h11.EndOfMessage()))
+            parts.append(self._h11.send(h11.Data(data=request.body)))
+        parts.append(self._h11.send(h11.EndOfMessage()))
         return b''.join(part for part in parts if part)
 
     async def _read_head(self) -> h11.Response:
@@ -103,7 +103,9 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise ConnectionResetError('closed before the answer')
+                raise ConnectionResetError(
+                    'connection closed before the response'
+                )
 
     async def _read_body(self) -> bytes:
         parts = []
@@ -114,23 +116,25 @@
             elif isinstance(event, h11.EndOfMessage):
                 return b''.join(parts)
             else:
-                raise ConnectionResetError('closed within the answer')
+                raise ConnectionResetError(
+                    'connection closed within the response'
+                )
 
     async def _next_event(self) -> object:
         while True:
-            event = self._state.next_event()
+            event = self._h11.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            self._state.receive_data(await self._reader.read(READ_BYTES))
+            self._h11.receive_data(await self._reader.read(READ_BYTES))
 
-    def renew(self) -> bool:
-        """Prepare for the next exchange; return whether that is possible."""
+    def prepare_for_reuse(self) -> bool:
+        """Prepare for the next exchange; return False if not reusable."""
         done = h11.DONE
-        if self._state.our_state is not done:
+        if self._h11.our_state is not done:
             return False
-        if self._state.their_state is not done:
+        if self._h11.their_state is not done:
             return False
-        self._state.start_next_cycle()
+        self._h11.start_next_cycle()
         self.idle_since = time.monotonic()
         return True
 
@@ -144,10 +148,10 @@
 
 
 class HttpClient:
-    """Sends requests and keeps idle connections for the next ones.
+    """Sends requests and keeps idle connections for reuse.
 
-    A connection is kept only after a whole answer. It belongs to one event
-    loop.
+    A connection is reused only after a complete response. An instance
+    belongs to one event loop.
     """
 
     def __init__(self) -> None:
@@ -156,33 +160,33 @@
     async def send(
         self, address: str, request: Request, timeout_s: float
     ) -> Reply:
-        """Send a request to IP:PORT and return the whole answer.
+        """Send a request to IP:PORT and return the complete response.
 
-        Raises `ExchangeError` otherwise. A cancelled call closes its
-        connection.
+        Raises `ExchangeError` when there is none. A cancelled call closes
+        its connection.
         """
-        connection = await self._take(address, timeout_s)
+        connection = await self._acquire(address, timeout_s)
         kept = False
         try:
             async with asyncio.timeout(timeout_s):
                 reply = await connection.exchange(request)
-            kept = self._keep(address, connection)
+            kept = self._release(address, connection)
             return reply
         except TimeoutError:
             raise ExchangeError(
-                f'{address}: no whole answer within {timeout_s:.3f} s',
+                f'{address}: no complete response within {timeout_s:.3f} s',
                 True,
-                connection.started,
+                connection.response_started,
             ) from None
         except (OSError, h11.RemoteProtocolError) as error:
             raise ExchangeError(
-                f'{address}: {error}', True, connection.started
+                f'{address}: {error}', True, connection.response_started
             ) from error
         finally:
             if not kept:
                 connection.close()
 
-    async def _take(self, address: str, timeout_s: float) -> _Connection:
+    async def _acquire(self, address: str, timeout_s: float) -> _Connection:
         idle = self._idle.get(address, [])
         now = time.monotonic()
         while idle:
@@ -202,9 +206,12 @@
             ) from error
         return _Connection(reader, writer)
 
-    def _keep(self, address: str, connection: _Connection) -> bool:
+    def _release(self, address: str, connection: _Connection) -> bool:
         idle = self._idle.setdefault(address, [])
-        if len(idle) >= MAX_IDLE_PER_ADDRESS or not connection.renew():
+        if (
+            len(idle) >= MAX_IDLE_PER_ADDRESS
+            or not connection.prepare_for_reuse()
+        ):
             return False
         idle.append(connection)
         return True
--- a/fulmarseam/client/_lookup.py
+++ b/fulmarseam/client/_lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups of the entries to use, kept for their lifetime."""
+"""Lookup of the entries to use, cached for its TTL."""
 
 import asyncio
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 class LookupEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry named by a look-up answer.
+    """An entry listed in a lookup answer.
 
     `address` is where callers send requests.
     """
@@ -28,7 +28,7 @@
 
 
 class RecordHome(msgspec.Struct, frozen=True, kw_only=True):
-    """The home of new request ids: a region and its generation."""
+    """The region that stores records of new request ids, with generation."""
 
     home: ids.RegionName
     generation: int
@@ -43,9 +43,9 @@
 
 
 class Lookup:
-    """Asks entries for look-ups and keeps the answer for its lifetime.
+    """Looks up the entries to use and caches the answer for its TTL.
 
-    When no entry answers, the last answer is used on.
+    When no entry answers, the last answer stays in use.
     """
 
     def __init__(
@@ -60,49 +60,51 @@
         self._region = region
         self._http_client = http_client
         self._answer: LookupAnswer | None = None
-        self._expires = 0.0
+        self._expires_at = 0.0
         self._lock = asyncio.Lock()
 
     async def get(self) -> LookupAnswer:
-        """Return the current answer, asking when it has expired.
+        """Return the cached answer; refresh it when it has expired.
 
         Raises `errors.FulmarseamError` when no entry has ever answered.
         """
-        if self._answer is not None and time.monotonic() < self._expires:
+        if self._answer is not None and time.monotonic() < self._expires_at:
             return self._answer
         async with self._lock:
-            if time.monotonic() >= self._expires:
+            if time.monotonic() >= self._expires_at:
                 await self._refresh()
         if self._answer is None:
             raise errors.FulmarseamError(
-                errors.ErrorKind.UNAVAILABLE, 'no entry answered the look-up'
+                errors.ErrorKind.UNAVAILABLE, 'no entry answered the lookup'
             )
         return self._answer
 
     async def _refresh(self) -> None:
-        fields = {'region': self._region}
+        parameters = {'region': self._region}
         if self._address is not None:
-            fields['address'] = self._address
-        query = urllib.parse.urlencode(fields)
+            parameters['address'] = self._address
+        query = urllib.parse.urlencode(parameters)
         request = _exchange.Request('GET', 'lookup', f'/v1/lookup?{query}')
         for api in list(self._apis):
-            asked = time.monotonic()
+            sent_at = time.monotonic()
             try:
                 reply = await self._http_client.send(
                     api, request, LOOKUP_TIMEOUT_S
                 )
-                self._accept(reply, asked)
+                self._accept(reply, sent_at)
                 return
             except (_exchange.ExchangeError, msgspec.MsgspecError):
-                # Ask another entry first from now on.
+                # Try another entry first from now on.
                 self._apis.remove(api)
                 self._apis.append(api)
 
-    def _accept(self, reply: _exchange.Reply, asked: float) -> None:
+    def _accept(self, reply: _exchange.Reply, sent_at: float) -> None:
         if reply.status != 200:
-            raise msgspec.ValidationError(f'look-up status {reply.status}')
+            raise msgspec.ValidationError(
+                f'lookup: found status {reply.status}, expected 200'
+            )
         answer = msgspec.json.decode(reply.body, type=LookupAnswer)
         self._answer = answer
-        self._expires = asked + answer.ttl_ms / 1_000
-        used = {entry.address for entry in answer.entries}
-        self._http_client.close_others(used | set(self._apis))
+        self._expires_at = sent_at + answer.ttl_ms / 1_000
+        entry_addresses = {entry.address for entry in answer.entries}
+        self._http_client.close_others(entry_addresses | set(self._apis))
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -140,7 +140,7 @@
         async with entry.server:
             async with client.Caller([entry.address], 'ost') as caller:
                 results = await client.call_repeatedly(
-                    caller, REQUEST, 2_000, tries=3, pause_s=0
+                    caller, REQUEST, 2_000, max_calls=3, pause_s=0
                 )
         sent = [
             request.headers['idempotency-key'] for request in entry.requests
