--- a/fulmarseam/entry/__init__.py
+++ b/fulmarseam/entry/__init__.py
@@ -1,7 +1,7 @@
 """The entry daemon.
 
-An entry proxies callers' requests to targets, answers look-ups, takes the
-announcements of targets and syncs with the control leader::
+An entry proxies callers' requests to targets, answers lookups, forwards the
+announcements of targets to the control leader and syncs with it::
 
     asyncio.run(entry.run_entry(settings, tracer))
 """
--- a/fulmarseam/entry/_announcements.py
+++ b/fulmarseam/entry/_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of targets on their way to the leader."""
+"""Announcements of targets that the leader has not acknowledged yet."""
 
 import asyncio
 import dataclasses
@@ -7,67 +7,74 @@
 from fulmarseam import ids
 from fulmarseam import wire
 
-# A target waits this long for the leader to have its announcement.
+# A target waits this long for the leader to acknowledge its announcement.
 ACKNOWLEDGE_TIMEOUT_S = 1.0
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class _Pending:
+class _PendingAnnouncement:
     report: wire.TargetReport
     received_at: float
     acknowledged: asyncio.Event
 
 
 class PendingAnnouncements:
-    """Holds the newest announcement of each target until the leader has it.
+    """Keeps the newest announcement of each target until acknowledged.
 
     Older announcements by (incarnation, sequence) never replace newer ones.
     """
 
     def __init__(self) -> None:
-        self._pending: dict[ids.TargetId, _Pending] = {}
+        self._pending: dict[ids.TargetId, _PendingAnnouncement] = {}
 
     def __len__(self) -> int:
         return len(self._pending)
 
     def add(self, now: float, report: wire.TargetReport) -> asyncio.Event:
-        """Hold a report; the event is set once the leader has it."""
-        known = self._pending.get(report.target)
-        if known is not None and order_of(report) < order_of(known.report):
-            # The leader keeps the newer one, which settles this one too.
-            return known.acknowledged
-        event = asyncio.Event() if known is None else known.acknowledged
-        self._pending[report.target] = _Pending(report, now, event)
+        """Add a report; the event is set once the leader acknowledges it."""
+        existing = self._pending.get(report.target)
+        if existing is not None and sequence_key(report) < sequence_key(
+            existing.report
+        ):
+            # Acknowledging the newer report also covers this older one.
+            return existing.acknowledged
+        event = asyncio.Event() if existing is None else existing.acknowledged
+        self._pending[report.target] = _PendingAnnouncement(report, now, event)
         return event
 
     def collect(self, now: float) -> tuple[list[wire.TargetReport], list[int]]:
         """Return the reports to send and their ages in milliseconds."""
         pending = list(self._pending.values())
-        reports = [item.report for item in pending]
-        ages = [int((now - item.received_at) * 1_000) for item in pending]
+        reports = [announcement.report for announcement in pending]
+        ages = [
+            int((now - announcement.received_at) * 1_000)
+            for announcement in pending
+        ]
         return reports, ages
 
     def acknowledge(self, reports: list[wire.TargetReport]) -> None:
-        """Note that the leader has the reports of a sync request."""
+        """Mark the reports of an answered sync request as acknowledged."""
         for report in reports:
-            item = self._pending.get(report.target)
-            if item is None or order_of(item.report) > order_of(report):
+            announcement = self._pending.get(report.target)
+            if announcement is None or sequence_key(
+                announcement.report
+            ) > sequence_key(report):
                 continue
             del self._pending[report.target]
-            item.acknowledged.set()
+            announcement.acknowledged.set()
 
-    def drop_old(self, now: float) -> None:
-        """Drop reports whose sender has stopped to wait for an answer."""
-        for target, item in list(self._pending.items()):
-            if now - item.received_at > 2 * ACKNOWLEDGE_TIMEOUT_S:
+    def drop_expired(self, now: float) -> None:
+        """Drop reports whose sender no longer waits for a response."""
+        for target, announcement in list(self._pending.items()):
+            if now - announcement.received_at > 2 * ACKNOWLEDGE_TIMEOUT_S:
                 del self._pending[target]
 
 
 async def wait_until_acknowledged(event: asyncio.Event) -> None:
-    """Wait until the leader has a report.
+    """Wait until the leader has acknowledged a report.
 
-    Raises `errors.FulmarseamError` when that takes too long; the leader
-    may have it all the same.
+    Raises `errors.FulmarseamError` after a timeout; the leader may have
+    received the report nevertheless.
     """
     try:
         async with asyncio.timeout(ACKNOWLEDGE_TIMEOUT_S):
@@ -79,6 +86,6 @@
         ) from None
 
 
-def order_of(report: wire.TargetReport) -> tuple[int, int]:
-    """Return the key by which the reports of a target are ordered."""
+def sequence_key(report: wire.TargetReport) -> tuple[int, int]:
+    """Return the sort key of a target's reports, oldest first."""
     return report.incarnation, report.sequence
--- a/fulmarseam/entry/_answers.py
+++ b/fulmarseam/entry/_answers.py
@@ -1,4 +1,4 @@
-"""Answers that an entry makes itself."""
+"""Error responses that an entry generates itself."""
 
 import json
 
@@ -9,7 +9,7 @@
 KIND_HEADER = b'fulmarseam-kind'
 RETIRED_MAX_AGE_S = 86_400
 
-# How long a caller should wait before it tries again, in milliseconds.
+# Milliseconds that a caller should wait before a retry.
 RETRY_AFTER_MS = {
     errors.ErrorKind.CONFIG_STALE: 500,
     errors.ErrorKind.ENTRY_DRAINING: 0,
@@ -24,7 +24,7 @@
 
 
 class AllowError(errors.FulmarseamError):
-    """The path has a route, but not for the method; `methods` are allowed."""
+    """A route matches the path but not the method; `methods` are allowed."""
 
     def __init__(self, methods: tuple[str, ...]) -> None:
         super().__init__(
@@ -34,8 +34,8 @@
         self.methods = methods
 
 
-def make_answer(error: errors.FulmarseamError) -> http.OwnAnswer:
-    """Return the answer for an error."""
+def make_error_response(error: errors.FulmarseamError) -> http.OwnAnswer:
+    """Return the response for an error."""
     answer = error.answer
     retry_after_ms = None
     if answer.retry is not errors.Retry.NEVER:
--- a/fulmarseam/entry/_api.py
+++ b/fulmarseam/entry/_api.py
@@ -1,4 +1,4 @@
-"""The entry's api listener: look-ups, announcements, metrics, status."""
+"""The entry's API listener: lookups, announcements, metrics, status."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -20,17 +20,18 @@
 JSON_HEADERS = [(b'content-type', b'application/json')]
 TEXT_HEADERS = [(b'content-type', b'text/plain; charset=utf-8')]
 
-_Answer = Callable[
+_Handler = Callable[
     [http.Request, http.CallerConnection], Awaitable[http.OwnAnswer]
 ]
 _report_decoder = msgspec.json.Decoder(wire.TargetReport)
 
 
 class Api:
-    """Answers the requests of the api listener.
+    """Handles the requests of the API listener.
 
-    `announce` is called with each valid announcement and returns the event
-    that is set once the leader has it. `describe` returns the status.
+    `announce` is called with each valid announcement and returns an event
+    that is set once the leader has acknowledged it. `make_status` returns
+    the content of the status page.
     """
 
     def __init__(
@@ -38,33 +39,33 @@
         lookups: _lookups.Lookups,
         metrics: telemetry.Metrics,
         announce: Callable[[wire.TargetReport], asyncio.Event],
-        describe: Callable[[], dict[str, Any]],
+        make_status: Callable[[], dict[str, Any]],
     ) -> None:
         self._lookups = lookups
         self._metrics = metrics
         self._announce = announce
-        self._describe = describe
-        self._answers: dict[tuple[bytes, bytes], _Answer] = {
+        self._make_status = make_status
+        self._handlers: dict[tuple[bytes, bytes], _Handler] = {
             (b'GET', b'/v1/lookup'): self._look_up,
             (b'GET', b'/v1/status'): self._show_status,
             (b'GET', b'/metrics'): self._show_metrics,
-            (b'POST', b'/v1/announce'): self._take_announcement,
+            (b'POST', b'/v1/announce'): self._accept_announcement,
         }
 
     async def handle(
         self, request: http.Request, caller: http.CallerConnection
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         path = request.target.partition(b'?')[0]
         method = b'GET' if request.method == b'HEAD' else request.method
-        answer = self._answers.get((method, path))
-        if answer is None:
-            raise self._refuse(path)
-        caller.answer(*await answer(request, caller))
+        handler = self._handlers.get((method, path))
+        if handler is None:
+            raise self._make_path_error(path)
+        caller.answer(*await handler(request, caller))
 
-    def _refuse(self, path: bytes) -> errors.FulmarseamError:
+    def _make_path_error(self, path: bytes) -> errors.FulmarseamError:
         kind = errors.ErrorKind.NOT_FOUND
-        if any(path == known for _, known in self._answers):
+        if any(path == known_path for _, known_path in self._handlers):
             kind = errors.ErrorKind.METHOD_NOT_ALLOWED
         return errors.FulmarseamError(kind, path.decode('latin-1'))
 
@@ -74,13 +75,13 @@
         query = request.target.partition(b'?')[2].decode('latin-1')
         fields = dict(urllib.parse.parse_qsl(query)) if query else {}
         address = fields.get('address') or caller.remote_address
-        tag = request.fields.get(b'if-none-match')
-        return self._lookups.answer(fields.get('region'), address, tag)
+        etag = request.fields.get(b'if-none-match')
+        return self._lookups.answer(fields.get('region'), address, etag)
 
     async def _show_status(
         self, request: http.Request, caller: http.CallerConnection
     ) -> http.OwnAnswer:
-        body = msgspec.json.encode(self._describe())
+        body = msgspec.json.encode(self._make_status())
         return http.OwnAnswer(200, JSON_HEADERS, body + b'\n')
 
     async def _show_metrics(
@@ -89,7 +90,7 @@
         body = self._metrics.render().encode()
         return http.OwnAnswer(200, TEXT_HEADERS, body)
 
-    async def _take_announcement(
+    async def _accept_announcement(
         self, request: http.Request, caller: http.CallerConnection
     ) -> http.OwnAnswer:
         body = await http.read_body(caller, MAX_BODY_BYTES)
@@ -99,16 +100,16 @@
             raise errors.FulmarseamError(
                 errors.ErrorKind.MALFORMED_MESSAGE, str(error)
             ) from error
-        check_report(report)
+        validate_report(report)
         event = self._announce(report)
         await _announcements.wait_until_acknowledged(event)
         return http.OwnAnswer(200, JSON_HEADERS, b'{}\n')
 
 
-def check_report(report: wire.TargetReport) -> None:
-    """Refuse an announcement with values that cannot be.
+def validate_report(report: wire.TargetReport) -> None:
+    """Check the values of an announcement.
 
-    Raises `errors.FulmarseamError` with all problems.
+    Raises `errors.FulmarseamError` that lists all invalid values.
     """
     problems = []
     for name in ('target', 'pool', 'region', 'failure_domain'):
@@ -117,7 +118,7 @@
     for name in ('slots', 'connections'):
         value = getattr(report, name)
         if not 1 <= value <= 1_000_000:
-            problems.append(f'{name}: found {value}, expected 1 or more')
+            problems.append(f'{name}: found {value}, expected 1 to 1000000')
     if not is_address(report.address):
         problems.append(f'address: found {report.address!r}, expected IP:PORT')
     if problems:
@@ -127,7 +128,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is an IP address and a port."""
+    """Return whether a text is an IP address with a port, as IP:PORT."""
     try:
         host, port = http.split_address(text)
         ipaddress.ip_address(host)
--- a/fulmarseam/entry/_attempts.py
+++ b/fulmarseam/entry/_attempts.py
@@ -16,7 +16,7 @@
 TRACEPARENT_HEADER = b'traceparent'
 SHED_STATUS = 503
 
-# Headers that the entry sets itself or answers for.
+# Headers that the entry sets or handles itself.
 _DROPPED_IN_REQUEST = http.HOP_BY_HOP | {
     b'expect',
     _requests.DEADLINE_HEADER,
@@ -33,79 +33,84 @@
 
 
 class TargetShedError(Exception):
-    """The target declared that it has not run the request."""
+    """The target declared that it did not run the request."""
 
 
 class Attempt:
-    """Runs a request on one target and passes the answer to the caller.
+    """Runs a request on one target and forwards the response to the caller.
 
-    One task runs both directions: it moves what can be moved and then
-    waits for the signal that both connections share.
+    One task handles both directions: it forwards what is available and then
+    waits for the signal that both connections share. `pacers` limit the
+    request body and the response body, in this order; both are indexed by
+    `direction`: 0 is towards the target, 1 towards the caller.
     """
 
     def __init__(
         self,
         context: _requests.RequestContext,
         choice: steering.Choice,
-        pool: http.TargetPool,
+        connection_pool: http.TargetPool,
         pacers: tuple[_pacing.Pacer, _pacing.Pacer] | None,
     ) -> None:
         self._context = context
         self._caller = context.caller
         self._choice = choice
-        self._pool = pool
+        self._connection_pool = connection_pool
         self._pacers = pacers
         self._loop = asyncio.get_running_loop()
         self._connection: http.TargetConnection | None = None
         self._uploading = True
         self.progress = http.Progress.NOT_SENT
-        self.answer_bytes = 0
-        self.keep_answer = False
-        self.kept_answer: wire.StoredAnswer | None = None
-        self._kept_body: list[bytes] = []
+        self.response_bytes = 0
+        self.store_answer = False
+        self.stored_answer: wire.StoredAnswer | None = None
+        self._stored_body: list[bytes] = []
 
     async def run(self) -> int:
-        """Run the request and return the status of the target's answer.
+        """Run the request and return the status of the target's response.
 
         Raises `http.TargetError`, `TargetShedError`,
-        `http.CallerGoneError`, or `errors.FulmarseamError` for a request
-        body to be refused. `progress` then says how far the request got.
+        `http.CallerGoneError`, or `errors.FulmarseamError` when the request
+        body is refused. `progress` then tells how much of the request was
+        sent.
         """
         signal = self._caller.signal
         assert signal is not None
         while True:
-            connection = self._pool.take_idle(signal)
+            connection = self._connection_pool.take_idle(signal)
             reused = connection is not None
             if connection is None:
                 connection = await self._open(signal)
             try:
-                return await self._run_on(connection)
+                return await self._run_on_connection(connection)
             except http.TargetError as error:
-                # An idle connection that the target had closed before any
-                # byte was written is replaced.
+                # The target closed the reused idle connection before any
+                # byte was written: retry on another connection.
                 if not reused or error.progress is not _NOT_SENT:
                     raise
             finally:
                 self.progress = connection.progress
-                self._pool.release(connection)
+                self._connection_pool.release(connection)
                 self._caller.stop_body_timeout()
 
     async def _open(self, signal: http.Signal) -> http.TargetConnection:
-        left_s = self._context.deadline - self._loop.time()
-        if left_s <= 0.0:
-            raise self._time_out()
-        return await self._pool.open(signal, left_s)
+        remaining_s = self._context.deadline - self._loop.time()
+        if remaining_s <= 0.0:
+            raise self._make_timeout_error()
+        return await self._connection_pool.open(signal, remaining_s)
 
-    async def _run_on(self, connection: http.TargetConnection) -> int:
+    async def _run_on_connection(
+        self, connection: http.TargetConnection
+    ) -> int:
         self._connection = connection
         self._send_request(connection)
         response = await self._wait_for_response(connection)
         if is_shed(response):
             raise TargetShedError(f'{self._choice.target} shed the request')
         self._start_response(response)
-        await self._pass_body(connection)
-        if self.keep_answer:
-            self._keep(response)
+        await self._forward_body(connection)
+        if self.store_answer:
+            self._set_stored_answer(response)
         return response.status
 
     # Request
@@ -117,7 +122,7 @@
             self._make_request_headers(),
             are_checked=True,
         )
-        for piece in self._context.kept:
+        for piece in self._context.replay_pieces:
             connection.send_data(piece)
             self._charge(0, len(piece))
         if self._caller.body_done:
@@ -135,22 +140,25 @@
         )
         host = context.host.encode('latin-1')
         if context.request.fields.get(b'host') != host or not host:
-            # The request target names the host, or HTTP/1.0 left it out.
+            # The request target names the host, or an HTTP/1.0 request has
+            # no Host header.
             host = host or self._choice.address.encode()
             headers = [item for item in headers if item[0] != b'host']
             headers.append((b'host', host))
         if context.request.length is None:
             headers.append((b'transfer-encoding', b'chunked'))
-        left_ms = int((context.deadline - self._loop.time()) * 1_000)
-        headers.append((_requests.DEADLINE_HEADER, b'%d' % max(left_ms, 0)))
+        remaining_ms = int((context.deadline - self._loop.time()) * 1_000)
+        headers.append(
+            (_requests.DEADLINE_HEADER, b'%d' % max(remaining_ms, 0))
+        )
         if context.traceparent is not None:
             headers.append((TRACEPARENT_HEADER, context.traceparent.encode()))
         return headers
 
     def _upload(self, connection: http.TargetConnection) -> None:
-        """Pass on what has arrived of the request body."""
+        """Forward what has been received of the request body."""
         while self._uploading and not connection.write_paused:
-            if not self._is_ready(0):
+            if not self._may_forward(0):
                 return
             piece = self._caller.poll_body()
             if piece is None:
@@ -161,7 +169,7 @@
                 self._uploading = False
                 self._caller.stop_body_timeout()
                 return
-            self._context.keep(piece)
+            self._context.keep_for_replay(piece)
             self._charge(0, len(piece))
             connection.send_data(piece)
             connection.flush()
@@ -188,36 +196,38 @@
             response.status, headers, response.reason, are_checked=True
         )
 
-    async def _pass_body(self, connection: http.TargetConnection) -> None:
-        queued = 0
+    async def _forward_body(self, connection: http.TargetConnection) -> None:
+        buffered_bytes = 0
         while True:
             piece = None
-            if self._is_ready(1):
+            if self._may_forward(1):
                 piece = connection.poll_body()
             if piece:
                 self._caller.send_data(piece)
-                self._count_answer(piece)
-                queued += len(piece)
-                if queued < http.BUFFER_BYTES:
+                self._record_piece(piece)
+                buffered_bytes += len(piece)
+                if buffered_bytes < http.BUFFER_BYTES:
                     continue
             elif piece is not None:
                 self._caller.end_response()
                 return
             self._caller.flush()
-            queued = 0
+            buffered_bytes = 0
             if piece is None or self._caller.write_paused:
                 await self._wait_for_either(connection)
 
-    def _count_answer(self, piece: bytes) -> None:
-        self.answer_bytes += len(piece)
+    def _record_piece(self, piece: bytes) -> None:
+        self.response_bytes += len(piece)
         self._charge(1, len(piece))
-        if self.keep_answer and (self.answer_bytes <= records.KEPT_BODY_BYTES):
-            self._kept_body.append(piece)
+        if self.store_answer and (
+            self.response_bytes <= records.KEPT_BODY_BYTES
+        ):
+            self._stored_body.append(piece)
 
     async def _wait_for_either(
         self, connection: http.TargetConnection
     ) -> None:
-        """Wait while the caller reads slowly or the target is not done."""
+        """Wait for a signal, and until the caller accepts more data."""
         while True:
             self._upload_rest(connection)
             await self._wait()
@@ -225,10 +235,10 @@
                 return
 
     def _upload_rest(self, connection: http.TargetConnection) -> None:
-        """Go on with the upload beside an answer that has begun.
+        """Continue the upload while the response is being forwarded.
 
-        A target that answers early may refuse the rest of the body; its
-        answer counts nevertheless.
+        A target that responds early may refuse the rest of the body; its
+        response is still valid.
         """
         if not self._uploading:
             return
@@ -237,14 +247,14 @@
         except http.TargetError:
             self._uploading = False
 
-    def _keep(self, response: http.Response) -> None:
-        fits = self.answer_bytes <= records.KEPT_BODY_BYTES
-        self.kept_answer = wire.StoredAnswer(
+    def _set_stored_answer(self, response: http.Response) -> None:
+        fits_limit = self.response_bytes <= records.KEPT_BODY_BYTES
+        self.stored_answer = wire.StoredAnswer(
             response.status,
             http.drop_headers(
                 response.headers, response.fields, _DROPPED_WITHOUT_BODY
             ),
-            b''.join(self._kept_body) if fits else None,
+            b''.join(self._stored_body) if fits_limit else None,
         )
 
     # Waiting
@@ -255,9 +265,9 @@
         if self._caller.gone:
             raise http.CallerGoneError('the caller has left')
         if self._loop.time() >= self._context.deadline:
-            raise self._time_out()
+            raise self._make_timeout_error()
 
-    def _time_out(self) -> http.TargetError:
+    def _make_timeout_error(self) -> http.TargetError:
         progress = http.Progress.NOT_SENT
         if self._connection is not None:
             progress = self._connection.progress
@@ -269,12 +279,12 @@
         if self._pacers is not None:
             self._pacers[direction].charge(size)
 
-    def _is_ready(self, direction: int) -> bool:
+    def _may_forward(self, direction: int) -> bool:
         return self._pacers is None or self._pacers[direction].is_ready()
 
 
 def is_shed(response: http.Response) -> bool:
-    """Return whether a target declares that it ran nothing."""
+    """Return whether a target declares that it did not run the request."""
     if response.status != SHED_STATUS:
         return False
     return response.fields.get(_answers.OUTCOME_HEADER) == NOT_RUN
--- a/fulmarseam/entry/_claims.py
+++ b/fulmarseam/entry/_claims.py
@@ -27,10 +27,10 @@
 
 
 class Claim:
-    """The right to run one request.
+    """The exclusive right to run one request.
 
-    It is asked for before a slot is taken, so that requests whose record
-    holder does not answer occupy no slots.
+    It is acquired before a slot is taken, so that requests whose record
+    holder does not respond occupy no slots.
     """
 
     def __init__(
@@ -42,75 +42,80 @@
         self._phase = _Phase.NEW
 
     async def acquire(self) -> bool:
-        """Ask for the right; False when the caller has its answer.
+        """Acquire the claim; False when a stored answer was sent instead.
 
         Raises `errors.FulmarseamError` when the request may not run.
         """
         assert self._context.request_id is not None
-        left_s = self._context.deadline - asyncio.get_running_loop().time()
+        remaining_s = (
+            self._context.deadline - asyncio.get_running_loop().time()
+        )
         try:
-            result = await self._claims.record_service.claim(
+            response = await self._claims.record_service.claim(
                 self._context.request_id,
-                self._context.print_content(),
+                self._context.content_fingerprint(),
                 self._attempt,
-                max(left_s, 0.0),
+                max(remaining_s, 0.0),
             )
         except BaseException:
-            # The claim may have landed although its answer was lost.
+            # The holder may have granted the claim although its response
+            # was lost, so the claim must be released.
             self._phase = _Phase.HELD
             self.close()
             raise
-        if result.verdict is wire.Verdict.FRESH:
+        if response.verdict is wire.Verdict.FRESH:
             self._phase = _Phase.HELD
             if self._context.caller.gone:
                 raise http.CallerGoneError('the caller has left')
             return True
         self._phase = _Phase.ENDED
-        self._answer_repeat(result)
+        self._answer_duplicate(response)
         return False
 
-    def _answer_repeat(self, result: wire.RecordVerdict) -> None:
+    def _answer_duplicate(self, response: wire.RecordVerdict) -> None:
         kinds = {
             wire.Verdict.IN_PROGRESS: errors.ErrorKind.REQUEST_IN_PROGRESS,
             wire.Verdict.UNKNOWN: errors.ErrorKind.OUTCOME_UNKNOWN,
             wire.Verdict.CONFLICT: errors.ErrorKind.REQUEST_ID_CONFLICT,
         }
-        kind = kinds.get(result.verdict)
+        kind = kinds.get(response.verdict)
         if kind is not None:
             raise errors.FulmarseamError(
                 kind, f'request id {self._context.request_id}'
             )
-        stored = result.answer
-        if stored is None or stored.body is None:
+        stored_answer = response.answer
+        if stored_answer is None or stored_answer.body is None:
             raise errors.FulmarseamError(
                 errors.ErrorKind.OUTCOME_NOT_KEPT,
-                'the request ran; its answer was too large to keep',
+                'the request ran, but its answer was too large to store',
             )
         headers = [
-            *stored.headers,
+            *stored_answer.headers,
             (_answers.OUTCOME_HEADER, _attempts.ANSWERED),
         ]
-        self._context.caller.answer(stored.status, headers, stored.body)
+        self._context.caller.answer(
+            stored_answer.status, headers, stored_answer.body
+        )
 
     def finish(self, answer: wire.StoredAnswer | None) -> None:
-        """Store the answer, or with None that the outcome is unknown."""
+        """Store the answer; None records that the outcome is unknown."""
         if self._phase is not _Phase.HELD:
             return
         self._phase = _Phase.ENDED
         assert self._context.request_id is not None
-        self._claims.spawn(
+        self._claims.run_in_background(
             self._claims.record_service.finish(
                 self._context.request_id, self._attempt, answer
             )
         )
 
     def close(self) -> None:
-        """Release the right unless the request has run or may have."""
+        """Release the claim unless the request has run or may have run."""
         if self._phase is not _Phase.HELD:
             return
         self._phase = _Phase.ENDED
         assert self._context.request_id is not None
-        self._claims.spawn(
+        self._claims.run_in_background(
             self._claims.record_service.release(
                 self._context.request_id, self._attempt
             )
@@ -118,18 +123,18 @@
 
 
 class Claims:
-    """Makes claims; stores their results in the background."""
+    """Creates claims and stores their results in the background."""
 
     def __init__(
         self, record_service: _records.RecordService, attempt_prefix: str
     ) -> None:
         self.record_service = record_service
-        self._prefix = attempt_prefix
-        self._count = 0
+        self._attempt_prefix = attempt_prefix
+        self._claim_count = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def check_key(self, context: _requests.RequestContext) -> None:
-        """Refuse a request that lacks the key that its route requires."""
+    def check_request_id(self, context: _requests.RequestContext) -> None:
+        """Refuse a request without the request id that its route requires."""
         if context.route.idempotent:
             return
         if context.request_id is None:
@@ -137,7 +142,7 @@
                 raise errors.FulmarseamError(
                     errors.ErrorKind.REQUEST_ID_REQUIRED,
                     'Idempotency-Key: found nothing, expected a key made '
-                    'from a look-up answer',
+                    'from a lookup answer',
                 )
             return
         if records.parse_key(context.request_id) is None:
@@ -147,22 +152,24 @@
                 'HOME.GENERATION.RANDOM',
             )
 
-    def prepare(self, context: _requests.RequestContext) -> Claim | None:
-        """Return the claim that a context needs, if any."""
+    def create_claim(self, context: _requests.RequestContext) -> Claim | None:
+        """Return a claim if the request needs one, otherwise None."""
         if context.route.idempotent or context.request_id is None:
             return None
-        self._count += 1
-        return Claim(self, context, f'{self._prefix}.{self._count}')
+        self._claim_count += 1
+        return Claim(
+            self, context, f'{self._attempt_prefix}.{self._claim_count}'
+        )
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def run_in_background(self, call: Coroutine[Any, Any, None]) -> None:
         """Run a call to the record holder in the background."""
-        task = asyncio.create_task(self._run(work))
+        task = asyncio.create_task(self._run_logged(call))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run(self, work: Coroutine[Any, Any, None]) -> None:
+    async def _run_logged(self, call: Coroutine[Any, Any, None]) -> None:
         try:
-            await work
+            await call
         except errors.FulmarseamError as error:
             _log.warning(
                 telemetry.format_event(
@@ -173,7 +180,8 @@
     async def flush(self, timeout_s: float) -> int:
         """Wait until results are stored; return how many are not yet.
 
-        A record without its result says unknown after its deadline.
+        A record whose result was not stored reads as unknown after its
+        deadline.
         """
         if self._tasks:
             await asyncio.wait(list(self._tasks), timeout=timeout_s)
--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: its parts, its tick and its graceful stop."""
+"""The entry daemon: its components, periodic work and graceful stop."""
 
 import asyncio
 import contextlib
@@ -27,13 +27,14 @@
 from fulmarseam.entry import _suspects
 from fulmarseam.entry import _syncing
 
-TICK_S = 0.1
-# Added to the life of look-up answers before an entry closes its listener.
+REFRESH_INTERVAL_S = 0.1
+# Added to the TTL of lookup answers before an entry closes its listener.
 LOOKUP_MARGIN_S = 1.0
-# Connections are told to close during this last part of the waiting time.
-WIND_DOWN_S = 1.0
+# Callers are asked to close their connections for this last part of the
+# wait before the listener is closed.
+CLOSE_NOTICE_S = 1.0
 # While a region has no backup for its records, results cannot be stored and
-# are repeated for 10 s. A stop does not wait for that.
+# are retried for 10 s. A stop does not wait for these retries.
 FLUSH_TIMEOUT_S = 1.0
 
 _log = logbook.Logger('entry')
@@ -47,13 +48,13 @@
     ) -> None:
         self._options = options
         self._loop = asyncio.get_running_loop()
-        self._stack = contextlib.AsyncExitStack()
-        self.stopping = asyncio.Event()
+        self._exit_stack = contextlib.AsyncExitStack()
+        self.stop_requested = asyncio.Event()
         self.metrics = telemetry.Metrics()
         self.state = _state.SharedState(options)
         self.announcements = _announcements.PendingAnnouncements()
         self.suspects = _suspects.Suspects()
-        self.connections = http.TargetPools()
+        self.target_pools = http.TargetPools()
         self.pools = _pools.Pools(
             self.state,
             steering.Place(options.region, options.failure_domain),
@@ -65,7 +66,7 @@
             self.state,
             self.pools,
             self.announcements,
-            self._list_copies,
+            self._list_record_copies,
         )
         self.synchronizer = _syncing.Synchronizer(
             options.control,
@@ -79,35 +80,35 @@
             lambda: float(self.synchronizer.count_bytes()),
         )
         self.peers = _peers.Peers(options, self.state)
-        self.holder = records.RecordHolder(
+        self.record_holder = records.RecordHolder(
             options.entry_id,
             self.reporter.incarnation,
             self.state.find_record_group,
             lambda: self.state.is_current(self._loop.time()),
-            self.peers.client,
+            self.peers.get_client,
             options.data_dir,
         )
         self.claims = _claims.Claims(
             records.RecordClient(
                 options.entry_id,
                 self.state.find_record_group,
-                self.peers.client,
-                self.holder.handle,
+                self.peers.get_client,
+                self.record_holder.handle,
             ),
             f'{options.entry_id}.{self.reporter.incarnation}',
         )
         self.lookups = _lookups.Lookups(options, self.state)
-        self.state.on_change = self._take_change
-        self._observe()
-        self.callers = self._make_caller_server(tracer)
-        self.api = self._make_api_server()
-        self.rpc = transport.RpcServer(
+        self.state.on_change = self._apply_change
+        self._register_gauges()
+        self.caller_server = self._make_caller_server(tracer)
+        self.api_server = self._make_api_server()
+        self.rpc_server = transport.RpcServer(
             options.rpc,
             _peers.PeerHandler(
                 self.state,
                 self.suspects,
-                self._take_change,
-                self.holder.handle,
+                self._apply_change,
+                self.record_holder.handle,
             ).handle,
         )
 
@@ -115,7 +116,7 @@
         dependencies = _proxying.Dependencies(
             state=self.state,
             pools=self.pools,
-            connections=self.connections,
+            target_pools=self.target_pools,
             suspects=self.suspects,
             peers=self.peers,
             claims=self.claims,
@@ -127,7 +128,7 @@
         return http.Server(
             self._options.listen,
             self.proxy.handle,
-            _answers.make_answer,
+            _answers.make_error_response,
             make_limits(self._options),
         )
 
@@ -135,66 +136,67 @@
         api = _api.Api(
             self.lookups,
             self.metrics,
-            self._take_announcement,
-            self.reporter.describe,
+            self._accept_announcement,
+            self.reporter.make_status,
         )
         return http.Server(
             self._options.api,
             api.handle,
-            _answers.make_answer,
+            _answers.make_error_response,
             make_limits(self._options),
         )
 
-    # Events
+    # Callbacks
 
     def _request_sync(self) -> None:
         self.synchronizer.request_now()
 
-    def _list_copies(self) -> list[wire.RecordCopy]:
-        return self.holder.list_copies()
+    def _list_record_copies(self) -> list[wire.RecordCopy]:
+        return self.record_holder.list_copies()
 
     def _raise_incarnation(self) -> None:
         self.reporter.raise_incarnation()
-        self.holder.set_incarnation(self.reporter.incarnation)
+        self.record_holder.set_incarnation(self.reporter.incarnation)
 
-    def _take_change(self) -> None:
-        self.lookups.forget()
-        self.holder.update(self.state.tables.rows(wire.RecordGroup))
+    def _apply_change(self) -> None:
+        self.lookups.clear_cache()
+        self.record_holder.update(self.state.tables.rows(wire.RecordGroup))
         self.pools.update(self._loop.time())
 
-    def _take_announcement(self, report: wire.TargetReport) -> asyncio.Event:
+    def _accept_announcement(self, report: wire.TargetReport) -> asyncio.Event:
         event = self.announcements.add(self._loop.time(), report)
-        known = self.state.targets.get(report.target)
+        mirrored = self.state.targets.get(report.target)
         if report.state is wire.TargetState.LEAVING:
             self.state.targets.record_leave(self._loop.time(), report)
-            self._take_change()
-            self.peers.announce(wire.LeaveNotice(report=report))
-        if known is None or known.report.state is not report.state:
-            # A mere renewal goes with the next poll, to save requests.
+            self._apply_change()
+            self.peers.broadcast(wire.LeaveNotice(report=report))
+        if mirrored is None or mirrored.report.state is not report.state:
+            # An unchanged renewal is sent with the next poll, to save
+            # requests.
             self.synchronizer.request_now()
         return event
 
-    async def _tick(self) -> None:
+    async def _refresh_periodically(self) -> None:
         previous = self._loop.time()
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(REFRESH_INTERVAL_S)
             now = self._loop.time()
             self._refresh(now, now - previous)
             previous = now
 
     def _refresh(self, now: float, elapsed_s: float) -> None:
         self.state.targets.expire(now)
-        self.announcements.drop_old(now)
+        self.announcements.drop_expired(now)
         self.suspects.table.expire(now)
         self.proxy.flush_counts()
-        for pool in self.pools.all():
+        for pool in self.pools.list_pools():
             pool.refresh(elapsed_s)
         self.pools.refresh_views(now)
         self.pools.serve_queues(now)
         self._limit_connections(now)
 
     def _limit_connections(self, now: float) -> None:
-        self.connections.set_limits(
+        self.target_pools.set_limits(
             {
                 row.report.address: self.state.slots.connection_share(
                     now, row.report.target
@@ -203,30 +205,30 @@
             }
         )
 
-    def _observe(self) -> None:
+    def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
         observe = self.metrics.observe
-        observe('requests_running', lambda: self.callers.busy)
-        observe('caller_connections', lambda: self.callers.connections)
+        observe('requests_running', lambda: self.caller_server.busy)
+        observe('caller_connections', lambda: self.caller_server.connections)
         observe('targets_ready', lambda: len(self.state.targets.ready()))
         observe('requests_in_flight', self.state.slots.total_in_flight)
         observe('revision', lambda: self.state.tables.revision)
         observe('takes_work', lambda: self.state.is_current(self._loop.time()))
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
-        """Serve until `stopping` is set, then stop gracefully."""
-        async with self._stack as stack:
-            await stack.enter_async_context(self.connections)
+        """Serve until `stop_requested` is set, then stop gracefully."""
+        async with self._exit_stack as stack:
+            await stack.enter_async_context(self.target_pools)
             await stack.enter_async_context(self.peers)
-            await stack.enter_async_context(self.holder)
-            await stack.enter_async_context(self.rpc)
+            await stack.enter_async_context(self.record_holder)
+            await stack.enter_async_context(self.rpc_server)
             await stack.enter_async_context(self.synchronizer)
-            await stack.enter_async_context(self.api)
-            await stack.enter_async_context(self.callers)
-            tick = asyncio.create_task(self._tick())
-            stack.callback(tick.cancel)
+            await stack.enter_async_context(self.api_server)
+            await stack.enter_async_context(self.caller_server)
+            refresh_task = asyncio.create_task(self._refresh_periodically())
+            stack.callback(refresh_task.cancel)
             self._log_event(
                 'started',
                 entry=self._options.entry_id,
@@ -239,34 +241,34 @@
             await self._drain()
 
     async def _wait_for_stop(self) -> None:
-        """Wait for the signal to stop.
+        """Wait for the request to stop.
 
         Raises `records.JournalFailedError` when a sync of the journal has
-        failed, because what it holds is then not known.
+        failed, because the content of the journal is then unknown.
         """
-        stopping = asyncio.ensure_future(self.stopping.wait())
+        waiting_for_stop = asyncio.ensure_future(self.stop_requested.wait())
         try:
             await asyncio.wait(
-                (stopping, self.holder.failed),
+                (waiting_for_stop, self.record_holder.failed),
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            stopping.cancel()
-        if self.holder.failed.done():
-            raise self.holder.failed.result()
+            waiting_for_stop.cancel()
+        if self.record_holder.failed.done():
+            raise self.record_holder.failed.result()
 
     async def _drain(self) -> None:
-        """Leave the look-ups, let their answers lapse, finish requests."""
+        """Leave lookups, wait until cached answers expire, end requests."""
         started = self._loop.time()
         self._announce_drain()
-        lapse_s = self._options.lookup_ttl_ms / 1_000 + LOOKUP_MARGIN_S
-        await asyncio.sleep(lapse_s - WIND_DOWN_S)
-        self.callers.announce_close()
-        await asyncio.sleep(WIND_DOWN_S)
-        self.callers.close_listener()
-        self._log_event('drain_listener_closed', busy=self.callers.busy)
-        self.callers.start_draining()
-        await self.callers.wait_until_idle()
+        lookup_expiry_s = self._options.lookup_ttl_ms / 1_000 + LOOKUP_MARGIN_S
+        await asyncio.sleep(lookup_expiry_s - CLOSE_NOTICE_S)
+        self.caller_server.announce_close()
+        await asyncio.sleep(CLOSE_NOTICE_S)
+        self.caller_server.close_listener()
+        self._log_event('drain_listener_closed', busy=self.caller_server.busy)
+        self.caller_server.start_draining()
+        await self.caller_server.wait_until_idle()
         unstored = await self.claims.flush(FLUSH_TIMEOUT_S)
         drain_s = self._loop.time() - started
         self._log_event('drained', drain_s=drain_s, unstored=unstored)
@@ -277,22 +279,22 @@
         self.state.record_entry_drain(
             self._options.entry_id, self.reporter.incarnation
         )
-        self.lookups.forget()
+        self.lookups.clear_cache()
         self.synchronizer.request_now()
-        self.peers.announce(
+        self.peers.broadcast(
             wire.DrainNotice(
                 entry=self._options.entry_id,
                 incarnation=self.reporter.incarnation,
             )
         )
-        self._log_event('drain_started', busy=self.callers.busy)
+        self._log_event('drain_started', busy=self.caller_server.busy)
 
     def _log_event(self, event: str, **fields: object) -> None:
         _log.info(telemetry.format_event(event, **fields))
 
 
 def make_limits(options: settings.EntrySettings) -> http.Limits:
-    """Return the limits of the callers' connections."""
+    """Return the limits for connections to a listener."""
     return http.Limits(
         max_header_bytes=options.max_header_bytes,
         max_body_bytes=options.max_body_bytes,
@@ -309,5 +311,5 @@
     entry = Entry(options, tracer)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, entry.stopping.set)
+        loop.add_signal_handler(number, entry.stop_requested.set)
     await entry.run()
--- a/fulmarseam/entry/_lookups.py
+++ b/fulmarseam/entry/_lookups.py
@@ -1,4 +1,4 @@
-"""Look-up answers: which entries a caller should use."""
+"""Lookup answers: which entries a caller should use."""
 
 import json
 from typing import Any
@@ -12,29 +12,30 @@
 from fulmarseam import wire
 from fulmarseam.entry import _state
 
-# Callers of a region are spread over this many orders of equal entries.
+# Callers of a region are hashed by address into this many groups; each group
+# gets equally good entries in an order of its own, which spreads the load.
 CALLER_GROUPS = 64
 
 
 class Lookups:
-    """Makes look-up answers and keeps them until something changes."""
+    """Builds lookup answers and caches them until something changes."""
 
     def __init__(
         self, options: settings.EntrySettings, state: _state.SharedState
     ) -> None:
         self._options = options
         self._state = state
-        self._kept: dict[tuple[ids.RegionName, int], http.OwnAnswer] = {}
+        self._cache: dict[tuple[ids.RegionName, int], http.OwnAnswer] = {}
         self._max_age = b'max-age=%d' % (options.lookup_ttl_ms // 1_000)
 
-    def forget(self) -> None:
-        """Drop the kept answers, after a change of entries or tables."""
-        self._kept.clear()
+    def clear_cache(self) -> None:
+        """Drop the cached answers, after a change of entries or tables."""
+        self._cache.clear()
 
     def find_region(self, region: str | None, address: str) -> ids.RegionName:
-        """Return the region of a caller: as named, else by its address.
+        """Return the given region, or the region of the caller's address.
 
-        Raises `errors.FulmarseamError` for an address that is not valid.
+        Raises `errors.FulmarseamError` for an invalid address.
         """
         if region is not None:
             return ids.RegionName(region)
@@ -48,42 +49,44 @@
         return found or self._options.region
 
     def answer(
-        self, region: str | None, address: str, known_tag: bytes | None
+        self, region: str | None, address: str, if_none_match: bytes | None
     ) -> http.OwnAnswer:
         """Return the answer for a caller.
 
-        `known_tag` is the tag of the answer that the caller still has.
+        `if_none_match` is the entity tag that the caller has cached.
         """
-        home = self.find_region(region, address)
-        group = zlib.crc32(address.encode()) % CALLER_GROUPS
-        answer = self._kept.get((home, group))
+        caller_region = self.find_region(region, address)
+        caller_group = zlib.crc32(address.encode()) % CALLER_GROUPS
+        answer = self._cache.get((caller_region, caller_group))
         if answer is None:
-            answer = self._make(home, group)
-            self._kept[home, group] = answer
-        if known_tag is not None and known_tag == answer.headers[1][1]:
+            answer = self._make_answer(caller_region, caller_group)
+            self._cache[caller_region, caller_group] = answer
+        if if_none_match is not None and if_none_match == answer.headers[1][1]:
             return http.OwnAnswer(304, answer.headers, b'')
         return answer
 
-    def _make(self, region: ids.RegionName, group: int) -> http.OwnAnswer:
+    def _make_answer(
+        self, region: ids.RegionName, caller_group: int
+    ) -> http.OwnAnswer:
         entries = steering.order_entries(
             self._state.entries.values(),
             region,
-            str(group),
-            self._state.drained_entries(),
+            str(caller_group),
+            self._state.find_drained_entries(),
         )
         content = {
             'region': region,
             'ttl_ms': self._options.lookup_ttl_ms,
-            'entries': [_describe(info) for info in entries],
+            'entries': [_describe_entry(info) for info in entries],
             'record_home': self._find_record_home(region),
         }
         body = json.dumps(content, separators=(',', ':')).encode()
-        tag = b'"%08x"' % zlib.crc32(body)
+        etag = b'"%08x"' % zlib.crc32(body)
         return http.OwnAnswer(
             200,
             [
                 (b'cache-control', self._max_age),
-                (b'etag', tag),
+                (b'etag', etag),
                 (b'content-type', b'application/json'),
             ],
             body,
@@ -92,7 +95,10 @@
     def _find_record_home(
         self, region: ids.RegionName
     ) -> dict[str, Any] | None:
-        """Return the record group whose keys callers of a region use."""
+        """Return the record group for new request ids of a region's callers.
+
+        Without a group of that region any other group is used.
+        """
         group = self._state.tables.get(wire.RecordGroup, region)
         if group is None:
             group = next(self._state.tables.rows(wire.RecordGroup), None)
@@ -101,7 +107,7 @@
         return {'home': group.name, 'generation': group.generation}
 
 
-def _describe(info: wire.EntryInfo) -> dict[str, str]:
+def _describe_entry(info: wire.EntryInfo) -> dict[str, str]:
     return {
         'entry': info.entry,
         'address': info.listen,
--- a/fulmarseam/entry/_outcomes.py
+++ b/fulmarseam/entry/_outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means for target, suspect and caller."""
+"""Effects of a finished attempt on target, crash suspect and caller."""
 
 import asyncio
 from typing import NamedTuple
@@ -20,11 +20,11 @@
     """Why an attempt failed and whether another one is allowed."""
 
     error: errors.FulmarseamError
-    may_repeat: bool
+    may_retry: bool
 
 
 class OutcomeHandler:
-    """Counts the outcomes of attempts and decides on what callers learn."""
+    """Counts outcomes of attempts and selects the errors for callers."""
 
     def __init__(
         self,
@@ -51,12 +51,12 @@
             outcomes.record_failure(now, target)
         else:
             outcomes.record_success(now, target, now - started)
-        self._pools.get(placement.pool).record_service(now - started)
+        self._pools.get(placement.pool).record_service_time(now - started)
         suspects = self._suspects
-        if suspects.may_exist() and suspects.table.clear(
+        if suspects.has_recent_strikes() and suspects.table.clear(
             context.fingerprint()
         ):
-            self._peers.announce(
+            self._peers.broadcast(
                 wire.StrikeNotice(
                     fingerprint=context.fingerprint(),
                     target=target,
@@ -71,7 +71,7 @@
         attempt: _attempts.Attempt,
         error: http.TargetError | _attempts.TargetShedError,
     ) -> FailedAttempt:
-        """Count a failed attempt and decide on what the caller learns."""
+        """Count a failed attempt and select the error for the caller."""
         target = placement.choice.target
         if isinstance(error, http.TargetError) and (
             error.reason is http.Reason.NO_CONNECTION_LEFT
@@ -110,7 +110,7 @@
     ) -> steering.SuspectState:
         fingerprint = context.fingerprint()
         state = self._suspects.strike(fingerprint, target)
-        await self._peers.announce_strike(
+        await self._peers.broadcast_strike(
             wire.StrikeNotice(fingerprint=fingerprint, target=target)
         )
         return state
@@ -120,17 +120,17 @@
         context: _requests.RequestContext,
         kind: errors.ErrorKind,
         error: Exception,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> FailedAttempt:
-        repeatable = (
-            may_repeat
-            and context.replayable
+        retryable = (
+            may_retry
+            and context.is_replayable
             and not context.caller.response_started
             and not context.caller.gone
             and self._loop.time() < context.deadline
         )
         return FailedAttempt(
-            errors.FulmarseamError(kind, str(error)), repeatable
+            errors.FulmarseamError(kind, str(error)), retryable
         )
 
 
@@ -139,7 +139,10 @@
     attempt: _attempts.Attempt,
     error: BaseException,
 ) -> None:
-    """End the claim of a failed attempt by what is known about it."""
+    """Finish the claim of a failed attempt that may have run the request.
+
+    The claim of a request that has not run is kept, for a retry or release.
+    """
     if claim is None:
         return
     if isinstance(error, _attempts.TargetShedError):
@@ -150,8 +153,8 @@
 
 
 def make_quarantine_error() -> errors.FulmarseamError:
-    """Return the error for a request that made two targets fail."""
+    """Return the error for a request that broke two targets."""
     return errors.FulmarseamError(
         errors.ErrorKind.QUARANTINED,
-        'two targets failed while they ran this request',
+        'two targets failed while running this request',
     )
--- a/fulmarseam/entry/_pacing.py
+++ b/fulmarseam/entry/_pacing.py
@@ -1,48 +1,58 @@
-"""Pacing of bodies between regions."""
+"""Rate limiting of bodies sent between regions."""
 
 import asyncio
 from collections.abc import Callable
 
 from fulmarseam import steering
 
-# Shortest pause, and the pause while no rate is granted.
-PAUSE_MIN_S = 0.001
-PAUSE_NO_RATE_S = 0.05
+# Shortest wait for link tokens, and the wait while no rate is granted.
+MIN_PAUSE_S = 0.001
+NO_RATE_PAUSE_S = 0.05
 
 
 class Pacer:
-    """Keeps one direction of a body within the granted link bytes.
+    """Limits one direction of a body to the rate granted on a link.
 
-    A piece is passed on first and paid afterwards; the next piece waits
-    until all is paid. `notify` is called when it may go on.
+    A piece is forwarded first and its link tokens are taken afterwards; the
+    next piece waits until the tokens for all bytes have been taken.
+    `notify` is called when the wait may be over.
     """
 
-    __slots__ = ('_debt', '_links', '_loop', '_name', '_notify', '_timer')
+    __slots__ = (
+        '_unpaid_bytes',
+        '_links',
+        '_loop',
+        '_link_name',
+        '_notify',
+        '_timer',
+    )
 
     def __init__(
         self,
         links: steering.LinkTokens,
-        name: str,
+        link_name: str,
         notify: Callable[[], None],
     ) -> None:
         self._links = links
-        self._name = name
+        self._link_name = link_name
         self._notify = notify
         self._loop = asyncio.get_running_loop()
-        self._debt = 0
+        self._unpaid_bytes = 0
         self._timer: asyncio.TimerHandle | None = None
 
     def charge(self, size: int) -> None:
-        """Count bytes that have been passed on."""
-        self._debt += size
+        """Count bytes that have been forwarded."""
+        self._unpaid_bytes += size
 
     def is_ready(self) -> bool:
-        """Return whether more may be passed on; else notify later."""
-        if not self._debt:
+        """Return whether more may be forwarded; if not, notify later."""
+        if not self._unpaid_bytes:
             return True
         now = self._loop.time()
-        self._debt -= self._links.take(now, self._name, self._debt)
-        if not self._debt:
+        self._unpaid_bytes -= self._links.take(
+            now, self._link_name, self._unpaid_bytes
+        )
+        if not self._unpaid_bytes:
             return True
         self._start_timer(now)
         return False
@@ -50,9 +60,9 @@
     def _start_timer(self, now: float) -> None:
         if self._timer is not None and self._timer.when() > now:
             return
-        pause = self._links.wait_s(now, self._name, self._debt)
-        if pause is None:
-            pause = PAUSE_NO_RATE_S
+        pause_s = self._links.wait_s(now, self._link_name, self._unpaid_bytes)
+        if pause_s is None:
+            pause_s = NO_RATE_PAUSE_S
         self._timer = self._loop.call_later(
-            max(pause, PAUSE_MIN_S), self._notify
+            max(pause_s, MIN_PAUSE_S), self._notify
         )
--- a/fulmarseam/entry/_peers.py
+++ b/fulmarseam/entry/_peers.py
@@ -1,4 +1,4 @@
-"""Notices between entries."""
+"""Notices sent between entries."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -18,7 +18,8 @@
 from fulmarseam.entry import _state
 from fulmarseam.entry import _suspects
 
-# An answer to a caller waits at most this long for strikes to be known.
+# A response to a caller is delayed at most this long until peers have
+# confirmed a strike.
 STRIKE_TIMEOUT_S = 0.3
 NOTICE_TIMEOUT_S = 1.0
 NOTICE_ATTEMPTS = 3
@@ -47,37 +48,40 @@
         for client in self._clients.values():
             client.close()
 
-    def client(self, entry: ids.EntryId) -> transport.RpcClient | None:
-        """Return the client of a peer, or None when it is not known."""
+    def get_client(self, entry: ids.EntryId) -> transport.RpcClient | None:
+        """Return the RPC client of a peer, or None for an unknown entry."""
         row = self._state.entries.get(entry)
         if row is None:
             return None
         address = self._options.peer_overrides.get(entry, row.info.rpc)
-        known = self._clients.get(entry)
-        if known is not None and known.address == address:
-            return known
-        if known is not None:
-            known.close()
+        existing = self._clients.get(entry)
+        if existing is not None and existing.address == address:
+            return existing
+        if existing is not None:
+            existing.close()
         client = self._clients[entry] = transport.RpcClient(address)
         client.open()
         return client
 
-    def _list_live(self) -> list[transport.RpcClient]:
+    def _list_live_clients(self) -> list[transport.RpcClient]:
         clients = [
-            self.client(entry)
+            self.get_client(entry)
             for entry, row in self._state.entries.items()
             if row.alive and entry != self._options.entry_id
         ]
         return [client for client in clients if client is not None]
 
-    def announce(self, message: wire.Message) -> None:
-        """Send a notice to all peers in the background, with repeats."""
-        for client in self._list_live():
-            self._spawn(_send(client, message, NOTICE_ATTEMPTS))
+    def broadcast(self, message: wire.Message) -> None:
+        """Send a notice to all peers in the background, with retries."""
+        for client in self._list_live_clients():
+            self._spawn(_send_notice(client, message, NOTICE_ATTEMPTS))
 
-    async def announce_strike(self, strike: wire.StrikeNotice) -> None:
-        """Send a strike and wait a bounded time until peers have it."""
-        calls = [_send(client, strike, 1) for client in self._list_live()]
+    async def broadcast_strike(self, strike: wire.StrikeNotice) -> None:
+        """Send a strike and wait up to a timeout until peers confirm it."""
+        calls = [
+            _send_notice(client, strike, 1)
+            for client in self._list_live_clients()
+        ]
         if not calls:
             return
         tasks = [asyncio.create_task(call) for call in calls]
@@ -86,13 +90,13 @@
             task.add_done_callback(self._tasks.discard)
         await asyncio.wait(tasks, timeout=STRIKE_TIMEOUT_S)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-async def _send(
+async def _send_notice(
     client: transport.RpcClient, message: wire.Message, attempts: int
 ) -> None:
     for _ in range(attempts):
@@ -114,10 +118,10 @@
 
 
 class PeerHandler:
-    """Answers the calls of peers.
+    """Handles the RPC calls of peers.
 
-    `handle_record` gets the messages that are no notice and returns None
-    for a message it does not know either.
+    `handle_record` gets the messages that are not handled here and returns
+    None for a message of an unexpected type.
     """
 
     def __init__(
@@ -134,24 +138,24 @@
         self._loop = asyncio.get_running_loop()
 
     async def handle(self, message: wire.Message) -> wire.Message:
-        """Answer one call."""
+        """Handle one call and return the response."""
         if isinstance(message, wire.LeaveNotice):
             self._state.targets.record_leave(self._loop.time(), message.report)
             self._on_change()
             return wire.Ok()
         if isinstance(message, wire.StrikeNotice):
-            self._suspects.take_notice(message)
+            self._suspects.apply_notice(message)
             return wire.Ok()
         if isinstance(message, wire.DrainNotice):
             self._state.record_entry_drain(message.entry, message.incarnation)
             return wire.Ok()
         if isinstance(message, wire.QuarantineRequest):
             return wire.QuarantineResponse(rows=self._suspects.list_rows())
-        answer = None
+        response = None
         if self._handle_record is not None:
-            answer = await self._handle_record(message)
-        if answer is None:
+            response = await self._handle_record(message)
+        if response is None:
             raise errors.WireError(
-                f'found {type(message).__name__}, expected a call of a peer'
+                f'found {type(message).__name__}, expected a message of a peer'
             )
-        return answer
+        return response
--- a/fulmarseam/entry/_placement.py
+++ b/fulmarseam/entry/_placement.py
@@ -1,4 +1,4 @@
-"""Waiting for a slot: in the pool's queue, or apart for suspects."""
+"""Waiting for a slot: in the pool's queue or, for suspects, outside it."""
 
 import asyncio
 
@@ -10,15 +10,15 @@
 from fulmarseam.entry import _requests
 from fulmarseam.entry import _suspects
 
-# A request that waits apart looks this often for a slot.
-LOOK_INTERVAL_S = 0.01
+# A request that waits outside the queue checks for a slot this often.
+SLOT_POLL_INTERVAL_S = 0.01
 
 
 class Scheduler:
-    """Finds a slot for a context.
+    """Waits for a slot for each request.
 
-    Suspects and jobs that avoid targets wait apart from the queue: at its
-    head they would hold up requests that could use the free slots.
+    Crash suspects and requests that avoid targets wait outside the queue:
+    at its head they would block requests that could use the free slots.
     """
 
     def __init__(
@@ -36,20 +36,20 @@
     ) -> _pools.Placement:
         """Wait for a slot that is not on an avoided target.
 
-        Raises `errors.FulmarseamError` when there is none in time, and
-        `http.CallerGoneError`. A placement ends with `release`.
+        Raises `errors.FulmarseamError` when no slot becomes free in time, and
+        `http.CallerGoneError`. Each placement must be passed to `release`.
         """
         if avoided or self._is_suspect(context):
             return await self._wait_outside_queue(context, pool, avoided)
         placement = await self._wait_in_queue(context, pool)
-        if not self._suspects.may_exist():
+        if not self._suspects.has_recent_strikes():
             return placement
         is_suspect = True
         try:
             is_suspect = self._is_suspect(context)
         finally:
             if is_suspect:
-                # It became a suspect while it was waiting.
+                # The request became a suspect while it was waiting.
                 self._pools.release(self._loop.time(), placement, refund=True)
         if not is_suspect:
             return placement
@@ -61,7 +61,7 @@
         placement: _pools.Placement,
         sent: bool,
     ) -> None:
-        """Give the slot back."""
+        """Release the slot; `sent` tells whether any byte was sent."""
         if context.runs_as_suspect:
             context.runs_as_suspect = False
             self._suspects.finish(
@@ -70,8 +70,8 @@
         self._pools.release(self._loop.time(), placement, refund=not sent)
 
     def _is_suspect(self, context: _requests.RequestContext) -> bool:
-        """Return whether a context is a suspect; refuse a quarantined one."""
-        if not self._suspects.may_exist():
+        """Return whether a request is a suspect; refuse if quarantined."""
+        if not self._suspects.has_recent_strikes():
             return False
         state = self._suspects.table.state(
             self._loop.time(), context.fingerprint()
@@ -86,7 +86,7 @@
         signal = context.caller.signal
         assert signal is not None
         queued = _pools.QueuedRequest(signal.notify)
-        ticket = self._pools.start(
+        ticket = self._pools.place_or_queue(
             self._loop.time(),
             pool,
             queued,
@@ -103,7 +103,7 @@
         if queued.placement is None:
             assert queued.refusal is not None
             raise errors.FulmarseamError(
-                queued.refusal, f'no slot of pool {pool.pool.name} in time'
+                queued.refusal, f'no slot available in pool {pool.pool.name}'
             )
         return queued.placement
 
@@ -113,26 +113,29 @@
         pool: _pools.PoolState,
         avoided: frozenset[ids.TargetId],
     ) -> _pools.Placement:
-        if pool.apart >= pool.pool.queue_limit:
+        if pool.waiting_outside_queue >= pool.pool.queue_limit:
             raise errors.FulmarseamError(
                 errors.ErrorKind.QUEUE_FULL,
-                f'{pool.apart} requests wait apart',
+                f'{pool.waiting_outside_queue} requests wait '
+                'outside the queue',
             )
         signal = context.caller.signal
         assert signal is not None
-        pool.apart += 1
+        pool.waiting_outside_queue += 1
         try:
             while True:
                 placement = self._try_place(context, pool, avoided)
                 if placement is not None:
                     return placement
-                timer = self._loop.call_later(LOOK_INTERVAL_S, signal.notify)
+                timer = self._loop.call_later(
+                    SLOT_POLL_INTERVAL_S, signal.notify
+                )
                 try:
                     await context.wait()
                 finally:
                     timer.cancel()
         finally:
-            pool.apart -= 1
+            pool.waiting_outside_queue -= 1
 
     def _try_place(
         self,
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -1,4 +1,4 @@
-"""Placement of requests on targets: queue, choice, slots and shifts."""
+"""Placement of requests on targets: queues, target choice, slots, shifts."""
 
 import collections
 from collections.abc import Callable
@@ -15,18 +15,18 @@
 from fulmarseam import wire
 from fulmarseam.entry import _state
 
-# Service times kept for the median of a pool.
-SERVICE_TIMES_KEPT = 64
-# Median assumed before the first answer, in seconds.
-FIRST_SERVICE_S = 0.0
-RATE_STEP = 0.3
-# A new control leader is elected within 2 s. An entry that has not been
-# confirmed for longer is cut off and gets no more slots.
-OUT_OF_TOUCH_S = 2.0
+# Number of latest service times from which the median of a pool is computed.
+SERVICE_TIME_SAMPLES = 64
+# Service time assumed before the first response.
+INITIAL_SERVICE_TIME_S = 0.0
+RATE_SMOOTHING_FACTOR = 0.3
+# A new control leader is elected within 2 s. An entry whose configuration has
+# not been confirmed for longer has lost contact and gets no more slots.
+LEADER_CONTACT_TIMEOUT_S = 2.0
 
 
 class Placement(NamedTuple):
-    """A request's slot on a target; ended with `Pools.release`."""
+    """A request's slot on a target, to be released by `Pools.release`."""
 
     choice: steering.Choice
     pool: ids.PoolName
@@ -45,7 +45,7 @@
 
 
 class PoolState:
-    """The queue and the recent figures of one pool."""
+    """The queue and the recent statistics of one pool."""
 
     def __init__(self, pool: wire.Pool, place: steering.Place) -> None:
         self.pool = pool
@@ -53,51 +53,55 @@
         self.queue: steering.RequestQueue[QueuedRequest] = (
             steering.RequestQueue(pool.queue_limit)
         )
-        self.budget = steering.RetryBudget(pool.retry_ratio)
+        self.retry_budget = steering.RetryBudget(pool.retry_ratio)
         self.in_flight = 0
-        self.apart = 0
+        self.waiting_outside_queue = 0
         self.arrivals = 0
         self.arrivals_per_s = 0.0
-        self.reported_wanted = 0
-        self.service_s = FIRST_SERVICE_S
-        self.regions: frozenset[ids.RegionName] = frozenset()
+        self.reported_wanted_slots = 0
+        self.service_time_s = INITIAL_SERVICE_TIME_S
+        self.remote_regions: frozenset[ids.RegionName] = frozenset()
         self.remote_placements: dict[ids.RegionName, int] = {}
         self._remote_rates: dict[ids.RegionName, float] = {}
         self._service_times: collections.deque[float] = collections.deque(
-            maxlen=SERVICE_TIMES_KEPT
+            maxlen=SERVICE_TIME_SAMPLES
         )
 
     @property
-    def wanted(self) -> int:
-        """Return the slots wanted now."""
-        return self.in_flight + len(self.queue) + self.apart
+    def wanted_slots(self) -> int:
+        """Return the number of requests that run or wait for a slot."""
+        return self.in_flight + len(self.queue) + self.waiting_outside_queue
 
     def update(self, pool: wire.Pool, place: steering.Place) -> None:
-        """Take a changed row of the pool."""
+        """Apply a changed row of the pool."""
         self.pool = pool
         self.view = steering.PoolView(pool, place)
         self.queue.limit = pool.queue_limit
-        self.budget.ratio = pool.retry_ratio
+        self.retry_budget.ratio = pool.retry_ratio
 
-    def remote_rate(self, region: ids.RegionName) -> float:
-        """Return the recent requests/s placed in another region."""
+    def get_remote_rate(self, region: ids.RegionName) -> float:
+        """Return the recent rate of requests/s placed in another region."""
         return self._remote_rates.get(region, 0.0)
 
-    def record_service(self, seconds: float) -> None:
-        """Count the time of a full answer."""
+    def record_service_time(self, seconds: float) -> None:
+        """Record the service time of a completed request."""
         self._service_times.append(seconds)
 
     def refresh(self, elapsed_s: float) -> None:
-        """Recompute the recent figures; called on a tick."""
+        """Recompute the recent statistics; called periodically."""
         rate = self.arrivals / elapsed_s
         self.arrivals = 0
-        self.arrivals_per_s += RATE_STEP * (rate - self.arrivals_per_s)
-        for region in self.regions:
+        self.arrivals_per_s += RATE_SMOOTHING_FACTOR * (
+            rate - self.arrivals_per_s
+        )
+        for region in self.remote_regions:
             placed = self.remote_placements.pop(region, 0) / elapsed_s
-            known = self._remote_rates.get(region, 0.0)
-            self._remote_rates[region] = known + RATE_STEP * (placed - known)
+            previous = self._remote_rates.get(region, 0.0)
+            self._remote_rates[region] = previous + RATE_SMOOTHING_FACTOR * (
+                placed - previous
+            )
         if self._service_times:
-            self.service_s = statistics.median(self._service_times)
+            self.service_time_s = statistics.median(self._service_times)
 
 
 class Pools:
@@ -118,7 +122,7 @@
         self._mirror_version = -1
         self.outcomes = steering.OutcomeTable()
 
-    def all(self) -> list[PoolState]:
+    def list_pools(self) -> list[PoolState]:
         """Return the states of all pools."""
         return list(self._pools.values())
 
@@ -130,12 +134,12 @@
         pool = self._pools.get(name)
         if pool is None:
             raise errors.FulmarseamError(
-                errors.ErrorKind.NO_TARGET, f'no pool {name}'
+                errors.ErrorKind.NO_TARGET, f'pool {name} does not exist'
             )
         return pool
 
     def update(self, now: float) -> None:
-        """Take the tables and targets in force and serve the queues."""
+        """Apply the current tables and targets and serve the queues."""
         rows = {row.name: row for row in self._state.tables.rows(wire.Pool)}
         for name in self._pools.keys() - rows.keys():
             self._refuse_all(self._pools.pop(name), errors.ErrorKind.NO_TARGET)
@@ -153,46 +157,49 @@
         self.serve_queues(now)
 
     def refresh_views(self, now: float) -> None:
-        """Pass targets and outcomes to the choice."""
+        """Update the views for target choice with targets and outcomes."""
         self._mirror_version = self._state.targets.version
         ready = self._state.targets.ready()
         for pool in self._pools.values():
             pool.view.refresh(now, ready, self.outcomes)
-            pool.regions = _find_remote_regions(
+            pool.remote_regions = _find_remote_regions(
                 pool.pool, ready, self._place.region
             )
 
     def serve_queues(self, now: float) -> None:
-        """Place waiting requests and refuse those that are too late."""
+        """Place queued requests; refuse those that cannot end in time."""
         for pool in self._pools.values():
             if len(pool.queue):
                 self._serve_queue(now, pool)
 
     def _serve_queue(self, now: float, pool: PoolState) -> None:
-        for ticket in pool.queue.refuse_late(now, pool.service_s):
+        for ticket in pool.queue.refuse_late(now, pool.service_time_s):
             ticket.item.refusal = errors.ErrorKind.NO_CAPACITY
             ticket.item.notify()
         while (first := pool.queue.peek()) is not None:
             placement = self.try_place(now, pool)
             if placement is None:
-                if self._is_out_of_touch(now):
+                if self._has_lost_leader(now):
                     self._refuse_all(pool, errors.ErrorKind.NO_CAPACITY)
                 return
             pool.queue.pop()
             first.item.placement = placement
             first.item.notify()
 
-    def _is_out_of_touch(self, now: float) -> bool:
-        """Return whether no more slots can be expected from the leader."""
+    def _has_lost_leader(self, now: float) -> bool:
+        """Return whether contact with the leader is lost.
+
+        No more slots can then be expected.
+        """
         age = self._state.confirmation_age(now)
-        return age is None or age > OUT_OF_TOUCH_S
+        return age is None or age > LEADER_CONTACT_TIMEOUT_S
 
     def _refuse_all(self, pool: PoolState, kind: errors.ErrorKind) -> None:
         while (ticket := pool.queue.pop()) is not None:
             ticket.item.refusal = kind
             ticket.item.notify()
 
-    def start(
+    def place_or_queue(
         self,
         now: float,
         pool: PoolState,
@@ -200,26 +207,26 @@
         priority: int,
         deadline: float,
     ) -> steering.Ticket[QueuedRequest] | None:
-        """Place a request or queue it.
+        """Place a request or add it to the queue.
 
-        Returns None when `queued` has been placed or refused. A ticket of
-        a request that stops to wait goes to `cancel`.
+        Returns None when `queued` has been placed or refused. When a queued
+        request stops waiting, its ticket must be passed to `cancel`.
         """
         if not len(pool.queue):
             queued.placement = self.try_place(now, pool)
             if queued.placement is not None:
                 return None
-        if self._is_out_of_touch(now):
+        if self._has_lost_leader(now):
             queued.refusal = errors.ErrorKind.NO_CAPACITY
             return None
         admission = pool.queue.push(
-            now, queued, priority, deadline, pool.service_s
+            now, queued, priority, deadline, pool.service_time_s
         )
         if admission.evicted is not None:
             admission.evicted.item.refusal = errors.ErrorKind.QUEUE_FULL
             admission.evicted.item.notify()
         queued.refusal = admission.kind
-        if pool.wanted > pool.reported_wanted:
+        if pool.wanted_slots > pool.reported_wanted_slots:
             self._request_sync()
         return admission.ticket
 
@@ -229,7 +236,7 @@
         pool: PoolState,
         ticket: steering.Ticket[QueuedRequest],
     ) -> None:
-        """Stop to wait; a slot that was just given goes back."""
+        """Remove a request from the queue, or release its slot if placed."""
         if pool.queue.cancel(ticket):
             return
         if ticket.item.placement is not None:
@@ -242,12 +249,12 @@
         pool: PoolState,
         avoided: Collection[ids.TargetId] = (),
     ) -> Placement | None:
-        """Take a slot that is free now, if there is one."""
+        """Take a slot that is free now; return None if there is none."""
         shifts = self._state.shifts
         name = pool.pool.name
         blocked = shifts.blocked(name)
-        if pool.regions:
-            blocked = blocked | self._find_full_links(now, pool)
+        if pool.remote_regions:
+            blocked = blocked | self._find_regions_without_tokens(now, pool)
         choice = steering.choose_target(
             pool.view,
             now,
@@ -268,22 +275,22 @@
             placed[choice.region] = placed.get(choice.region, 0) + 1
         return Placement(choice, name)
 
-    def _find_full_links(
+    def _find_regions_without_tokens(
         self, now: float, pool: PoolState
     ) -> frozenset[ids.RegionName]:
-        own = self._place.region
+        own_region = self._place.region
         has_tokens = self._state.links.has_tokens
         return frozenset(
             region
-            for region in pool.regions
-            if not has_tokens(now, f'{own}>{region}')
-            or not has_tokens(now, f'{region}>{own}')
+            for region in pool.remote_regions
+            if not has_tokens(now, f'{own_region}>{region}')
+            or not has_tokens(now, f'{region}>{own_region}')
         )
 
     def release(
         self, now: float, placement: Placement, refund: bool = False
     ) -> None:
-        """End a request; `refund` when no byte of it was sent."""
+        """Release a slot; `refund` shift credit when nothing was sent."""
         self._state.slots.release(placement.choice.target)
         pool = self._pools.get(placement.pool)
         if refund:
@@ -298,12 +305,12 @@
 def _find_remote_regions(
     pool: wire.Pool,
     ready: Collection[membership.MirroredTarget],
-    own: ids.RegionName,
+    own_region: ids.RegionName,
 ) -> frozenset[ids.RegionName]:
     if pool.local_only:
         return frozenset()
     return frozenset(
         row.report.region
         for row in ready
-        if row.report.pool == pool.name and row.report.region != own
+        if row.report.pool == pool.name and row.report.region != own_region
     )
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -24,18 +24,19 @@
 from fulmarseam.entry import _suspects
 
 MAX_ATTEMPTS = 3
-# Callers of retired routes are counted one by one up to this number.
+# Number of callers of retired routes that have a metric label of their own;
+# further ones are counted as "other".
 MAX_RETIRED_CALLERS = 1_000
 
 _log = logbook.Logger('entry')
 
 
 class Dependencies(NamedTuple):
-    """What the proxy path uses."""
+    """Objects that the proxy uses."""
 
     state: _state.SharedState
     pools: _pools.Pools
-    connections: http.TargetPools
+    target_pools: http.TargetPools
     suspects: _suspects.Suspects
     peers: _peers.Peers
     claims: _claims.Claims
@@ -58,13 +59,13 @@
             dependencies.pools, dependencies.suspects
         )
         self._loop = asyncio.get_running_loop()
-        self._counts: dict[tuple[str, str], int] = {}
+        self._request_counts: dict[tuple[str, str], int] = {}
         self._retired_callers: set[tuple[str, str]] = set()
 
     async def handle(
         self, request: http.Request, caller: http.CallerConnection
     ) -> None:
-        """Handle one request; the handler of the callers' server."""
+        """Handle one request of the callers' listener."""
         started = self._loop.time()
         route = ''
         kind = ''
@@ -79,8 +80,10 @@
             kind = errors.ErrorKind.CALLER_GONE.value
             raise
         finally:
-            counted = (route, kind)
-            self._counts[counted] = self._counts.get(counted, 0) + 1
+            count_key = (route, kind)
+            self._request_counts[count_key] = (
+                self._request_counts.get(count_key, 0) + 1
+            )
             if not kind:
                 elapsed = self._loop.time() - started
                 self._dependencies.metrics.record(
@@ -88,34 +91,36 @@
                 )
 
     def flush_counts(self) -> None:
-        """Pass the counts of requests on to the metrics; on a tick."""
-        for (route, kind), count in self._counts.items():
+        """Add the request counts to the metrics; called periodically."""
+        for (route, kind), count in self._request_counts.items():
             self._dependencies.metrics.add(
                 'requests_total', count, route=route, kind=kind
             )
-        self._counts.clear()
+        self._request_counts.clear()
 
     def _admit(
         self, request: http.Request, caller: http.CallerConnection, now: float
     ) -> _requests.RequestContext:
-        """Return the context of a request that may run, or refuse it."""
+        """Return the context of a request, or refuse the request."""
         if not self._state.is_current(now):
             raise errors.FulmarseamError(
                 errors.ErrorKind.CONFIG_STALE,
                 'the configuration is not confirmed by the control leader',
             )
         context = _requests.RequestContext(request, caller, now)
-        context.route = self._match(context)
+        context.route = self._match_route(context)
         context.request_id = _requests.read_request_id(request)
-        self._dependencies.claims.check_key(context)
+        self._dependencies.claims.check_request_id(context)
         pool = self._pools.get(context.route.pool)
-        context.deadline = now + self._find_time_ms(context, pool.pool) / 1_000
+        context.deadline = (
+            now + self._find_deadline_ms(context, pool.pool) / 1_000
+        )
         pool.arrivals += 1
-        pool.budget.count_request()
+        pool.retry_budget.count_request()
         self._state.shifts.arrive(context.route.pool)
         return context
 
-    def _match(self, context: _requests.RequestContext) -> wire.Route:
+    def _match_route(self, context: _requests.RequestContext) -> wire.Route:
         match = steering.match_route(
             self._state.routes, context.host, context.path, context.method
         )
@@ -130,36 +135,39 @@
             self._count_retired(match.route, context.caller.remote_address)
             raise errors.FulmarseamError(
                 errors.ErrorKind.ROUTE_RETIRED,
-                f'route {match.route.name} was retired',
+                f'route {match.route.name} is retired',
             )
         return match.route
 
     def _count_retired(self, route: wire.Route, address: str) -> None:
         metrics = self._dependencies.metrics
         metrics.add('retired_requests_total', route=route.name)
-        known = (route.name, address)
-        if known not in self._retired_callers:
+        caller_key = (route.name, address)
+        if caller_key not in self._retired_callers:
             if len(self._retired_callers) >= MAX_RETIRED_CALLERS:
                 address = 'other'
             else:
-                self._retired_callers.add(known)
+                self._retired_callers.add(caller_key)
         metrics.add(
             'retired_caller_requests_total', route=route.name, caller=address
         )
 
-    def _find_time_ms(
+    def _find_deadline_ms(
         self, context: _requests.RequestContext, pool: wire.Pool
     ) -> int:
-        allowed = min(context.route.deadline_ms, pool.max_deadline_ms)
-        stated = _requests.read_deadline_ms(context.request)
-        if stated == 0:
+        limit_ms = min(context.route.deadline_ms, pool.max_deadline_ms)
+        requested_ms = _requests.read_deadline_ms(context.request)
+        if requested_ms == 0:
             raise errors.FulmarseamError(
-                errors.ErrorKind.DEADLINE_UNREACHABLE, 'no time left'
+                errors.ErrorKind.DEADLINE_UNREACHABLE,
+                'Fulmarseam-Deadline-Ms: found 0, expected 1 or more',
             )
-        return allowed if stated is None else min(allowed, stated)
+        return (
+            limit_ms if requested_ms is None else min(limit_ms, requested_ms)
+        )
 
     async def _run(self, context: _requests.RequestContext) -> None:
-        """Run a context with its deadline, its claim and its span."""
+        """Run a request with its deadline timer, trace span and claim."""
         signal = context.caller.signal
         assert signal is not None
         timer = self._loop.call_at(context.deadline, signal.notify)
@@ -174,7 +182,7 @@
                 context.traceparent = span.traceparent()
                 if not context.caller.body_done:
                     await context.read_prefix()
-                claim = self._dependencies.claims.prepare(context)
+                claim = self._dependencies.claims.create_claim(context)
                 try:
                     await self._run_claimed(context, claim)
                 finally:
@@ -186,25 +194,26 @@
     async def _run_claimed(
         self, context: _requests.RequestContext, claim: _claims.Claim | None
     ) -> None:
-        """Attempt a context until it is answered or may not be repeated.
+        """Make attempts until one succeeds or no retry is allowed.
 
-        Once an attempt may have run, that is what the caller learns,
-        whatever ends a later attempt.
+        Once an attempt may have run the request, its error is what the
+        caller gets, whatever error ends a later attempt.
         """
         if claim is not None and not await claim.acquire():
             return
         avoided: frozenset[ids.TargetId] = frozenset()
         pool = self._pools.get(context.route.pool)
-        # Without a claim nothing bounds how often the request may run.
-        is_guarded = context.route.idempotent or claim is not None
-        attempts = MAX_ATTEMPTS if is_guarded else 1
+        # Without a claim nothing keeps a request that is not idempotent from
+        # running twice.
+        is_retryable = context.route.idempotent or claim is not None
+        attempts = MAX_ATTEMPTS if is_retryable else 1
         may_have_run: errors.FulmarseamError | None = None
-        for left in range(attempts - 1, -1, -1):
+        for attempts_left in range(attempts - 1, -1, -1):
             try:
                 placement = await self._scheduler.wait_for_slot(
                     context, pool, avoided
                 )
-                failed = await self._attempt(context, placement, claim)
+                failed = await self._run_attempt(context, placement, claim)
             except errors.FulmarseamError as error:
                 if may_have_run is None:
                     raise
@@ -214,31 +223,34 @@
             if failed.error.answer.outcome is not errors.Outcome.NOT_RUN:
                 may_have_run = failed.error
             avoided |= {placement.choice.target}
-            if not left or not failed.may_repeat:
+            if not attempts_left or not failed.may_retry:
                 raise may_have_run or failed.error
-            if not self._has_other(pool, avoided) or not pool.budget.take():
+            if (
+                not self._has_untried_target(pool, avoided)
+                or not pool.retry_budget.take()
+            ):
                 raise may_have_run or failed.error
             self._dependencies.metrics.add(
                 'retries_total', pool=pool.pool.name
             )
 
-    def _has_other(
+    def _has_untried_target(
         self, pool: _pools.PoolState, avoided: frozenset[ids.TargetId]
     ) -> bool:
-        """Return whether the pool has a target that was not tried."""
+        """Return whether the pool has a ready target not tried yet."""
         return any(
             row.report.pool == pool.pool.name
             and row.report.target not in avoided
             for row in self._state.targets.ready()
         )
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         context: _requests.RequestContext,
         placement: _pools.Placement,
         claim: _claims.Claim | None,
     ) -> _outcomes.FailedAttempt | None:
-        """Use a placement; None when the caller has its answer."""
+        """Run an attempt and release its slot; None on success."""
         attempt = None
         try:
             attempt = self._make_attempt(context, placement)
@@ -256,8 +268,8 @@
         attempt: _attempts.Attempt,
         claim: _claims.Claim | None,
     ) -> _outcomes.FailedAttempt | None:
-        """Run one attempt and settle_claim its claim."""
-        attempt.keep_answer = claim is not None
+        """Run an attempt and record its outcome in the claim."""
+        attempt.store_answer = claim is not None
         started = self._loop.time()
         try:
             status = await attempt.run()
@@ -273,7 +285,7 @@
                 raise
             raise errors.FulmarseamError(
                 errors.ErrorKind.TARGET_FAILED,
-                f'the request body broke off: {error.detail}',
+                f'the request body ended early: {error.detail}',
             ) from error
         except BaseException as error:
             _outcomes.settle_claim(claim, attempt, error)
@@ -282,7 +294,7 @@
             context, placement, status, started
         )
         if claim is not None:
-            claim.finish(attempt.kept_answer)
+            claim.finish(attempt.stored_answer)
         return None
 
     def _make_attempt(
@@ -292,7 +304,7 @@
         choice = placement.choice
         now = self._loop.time()
         share = self._state.slots.connection_share(now, choice.target)
-        pool = dependencies.connections.get(choice.address, share)
+        pool = dependencies.target_pools.get(choice.address, share)
         pacers = None
         if choice.is_remote:
             pacers = self._make_pacers(context, choice.region)
@@ -301,11 +313,11 @@
     def _make_pacers(
         self, context: _requests.RequestContext, region: ids.RegionName
     ) -> tuple[_pacing.Pacer, _pacing.Pacer]:
-        own = self._dependencies.region
+        own_region = self._dependencies.region
         signal = context.caller.signal
         assert signal is not None
         links = self._state.links
         return (
-            _pacing.Pacer(links, f'{own}>{region}', signal.notify),
-            _pacing.Pacer(links, f'{region}>{own}', signal.notify),
+            _pacing.Pacer(links, f'{own_region}>{region}', signal.notify),
+            _pacing.Pacer(links, f'{region}>{own_region}', signal.notify),
         )
--- a/fulmarseam/entry/_records.py
+++ b/fulmarseam/entry/_records.py
@@ -1,4 +1,4 @@
-"""What the proxy path needs of the at-most-once records."""
+"""Interface of the proxy to the at-most-once records."""
 
 from typing import Protocol
 
@@ -6,11 +6,11 @@
 
 
 class RecordService(Protocol):
-    """Claims the right to run a request once; see `records.RecordClient`.
+    """Manages claims of requests that run once; see `records.RecordClient`.
 
-    `attempt` names one processing of the request by one entry. Only FRESH
-    lets the request run; each FRESH claim is followed by one `finish` or
-    one `release`.
+    `attempt` identifies one processing of the request by one entry. Only
+    the verdict FRESH allows the request to run; each FRESH claim is followed
+    by one `finish` or one `release`.
     """
 
     async def claim(
@@ -19,15 +19,15 @@
         """Claim a request.
 
         Raises `errors.FulmarseamError` with `record_unavailable` when the
-        holder does not answer, and with `request_id_required` for a key
-        that no look-up answer gave out.
+        record holder does not respond, and with `request_id_required` for a
+        key that was not made from a lookup answer.
         """
         ...
 
     async def finish(
         self, key: str, attempt: str, answer: wire.StoredAnswer | None
     ) -> None:
-        """Store the answer, or with None that the outcome is unknown."""
+        """Store the answer; None records that the outcome is unknown."""
         ...
 
     async def release(self, key: str, attempt: str) -> None:
--- a/fulmarseam/entry/_reports.py
+++ b/fulmarseam/entry/_reports.py
@@ -1,4 +1,4 @@
-"""What an entry reports: sync requests and its status page."""
+"""Sync requests and the status page of an entry."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,17 +14,17 @@
 from fulmarseam.entry import _pools
 from fulmarseam.entry import _state
 
-# Link bytes/s asked for a pool with remote targets, as requests/s, so that
-# a first remote request finds tokens.
-BASE_REMOTE_REQUESTS = 1.0
-# First step of the incarnation after the leader has refused it.
+# Rate of remote requests for which a pool with remote targets always asks for
+# link bytes/s, so that a first remote request finds tokens.
+BASE_REMOTE_REQUESTS_PER_S = 1.0
+# First increase of an incarnation that the leader has refused.
 INCARNATION_STEP_MS = 60_000
 
 _log = logbook.Logger('entry')
 
 
 class Reporter:
-    """Makes sync requests and status pages from the present state."""
+    """Builds sync requests and status pages from the current state."""
 
     def __init__(
         self,
@@ -42,24 +42,24 @@
         self._clock = asyncio.get_running_loop().time
         self.incarnation = time.time_ns() // 1_000_000
         self.draining = False
-        self._incarnation_step = INCARNATION_STEP_MS
+        self._incarnation_step_ms = INCARNATION_STEP_MS
 
     def raise_incarnation(self) -> None:
-        """Pass the incarnation that the leader knows of this entry.
+        """Increase the incarnation after the leader has refused it.
 
-        The wall clock may have stepped back between two starts, so that
-        the new incarnation is below the last one. The step doubles until
-        the leader accepts it.
+        The incarnation comes from the wall clock. If the clock was set back
+        between two starts, the new incarnation is below the previous one.
+        The increase doubles until the leader accepts the incarnation.
         """
-        self.incarnation += self._incarnation_step
-        self._incarnation_step *= 2
+        self.incarnation += self._incarnation_step_ms
+        self._incarnation_step_ms *= 2
         _log.warning(
             telemetry.format_event(
                 'incarnation_raised', incarnation=self.incarnation
             )
         )
 
-    def info(self) -> wire.EntryInfo:
+    def make_info(self) -> wire.EntryInfo:
         """Return the identity and the addresses of this entry."""
         options = self._options
         return wire.EntryInfo(
@@ -74,12 +74,12 @@
         )
 
     def make_request(self, wait_ms: int) -> wire.SyncRequest:
-        """Return a sync request that reports the present."""
+        """Return a sync request with the current state."""
         now = self._clock()
         state = self._state
         reports, ages = self._announcements.collect(now)
         return wire.SyncRequest(
-            info=self.info(),
+            info=self.make_info(),
             draining=self.draining,
             revision=state.tables.revision,
             targets_term=state.targets_term,
@@ -95,22 +95,22 @@
             wait_ms=wait_ms,
             doubtful=[
                 target
-                for pool in self._pools.all()
+                for pool in self._pools.list_pools()
                 for target in pool.view.doubtful
             ],
-            entries_version=state.entry_rows.version,
+            entries_version=state.entry_mirror.version,
             record_copies=self._list_copies(),
         )
 
     def _list_demand(self) -> list[wire.PoolDemand]:
         demand = []
-        for pool in self._pools.all():
-            pool.reported_wanted = pool.wanted
-            if pool.wanted or pool.arrivals_per_s >= 0.01:
+        for pool in self._pools.list_pools():
+            pool.reported_wanted_slots = pool.wanted_slots
+            if pool.wanted_slots or pool.arrivals_per_s >= 0.01:
                 demand.append(
                     wire.PoolDemand(
                         pool=pool.pool.name,
-                        wanted=pool.wanted,
+                        wanted=pool.wanted_slots,
                         arrivals_per_s=round(pool.arrivals_per_s, 2),
                     )
                 )
@@ -119,26 +119,36 @@
     def _find_link_demand(self) -> dict[str, int]:
         """Return the bytes/s wanted on each link.
 
-        A pool that may use other regions asks for what its waiting
-        requests and the recent remote ones need, spread over the regions.
+        A pool that may use other regions asks for what its recent remote
+        requests and its queued requests need; the queued ones are divided
+        evenly among the regions.
         """
-        own = self._options.region
+        own_region = self._options.region
         wanted: dict[str, float] = {}
-        for pool in self._pools.all():
-            for region in pool.regions:
-                rate = BASE_REMOTE_REQUESTS + pool.remote_rate(region)
-                rate += len(pool.queue) / len(pool.regions)
-                there, back = f'{own}>{region}', f'{region}>{own}'
+        for pool in self._pools.list_pools():
+            for region in pool.remote_regions:
+                rate = BASE_REMOTE_REQUESTS_PER_S + pool.get_remote_rate(
+                    region
+                )
+                rate += len(pool.queue) / len(pool.remote_regions)
+                outbound, inbound = (
+                    f'{own_region}>{region}',
+                    f'{region}>{own_region}',
+                )
                 row = pool.pool
-                wanted[there] = wanted.get(there, 0) + rate * row.request_bytes
-                wanted[back] = wanted.get(back, 0) + rate * row.response_bytes
+                wanted[outbound] = (
+                    wanted.get(outbound, 0) + rate * row.request_bytes
+                )
+                wanted[inbound] = (
+                    wanted.get(inbound, 0) + rate * row.response_bytes
+                )
         return {name: int(rate) for name, rate in wanted.items()}
 
-    def describe(self) -> dict[str, Any]:
-        """Return the status page."""
+    def make_status(self) -> dict[str, Any]:
+        """Return the content of the status page."""
         now = self._clock()
         state = self._state
-        age = state.confirmation_age(now)
+        age_s = state.confirmation_age(now)
         return {
             'entry': self._options.entry_id,
             'incarnation': self.incarnation,
@@ -147,7 +157,7 @@
             'draining': self.draining,
             'takes_work': state.is_current(now),
             'revision': state.tables.revision,
-            'confirmed_s_ago': None if age is None else round(age, 3),
+            'confirmed_s_ago': None if age_s is None else round(age_s, 3),
             'term': state.term,
             'targets': len(state.targets.ready()),
             'entries': sorted(state.entries),
@@ -157,8 +167,8 @@
                     'in_flight': pool.in_flight,
                     'queued': len(pool.queue),
                     'arrivals_per_s': round(pool.arrivals_per_s, 2),
-                    'service_s': round(pool.service_s, 4),
+                    'service_s': round(pool.service_time_s, 4),
                 }
-                for pool in self._pools.all()
+                for pool in self._pools.list_pools()
             },
         }
--- a/fulmarseam/entry/_requests.py
+++ b/fulmarseam/entry/_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through an entry."""
+"""The state of a caller's request in an entry."""
 
 import asyncio
 import ipaddress
@@ -9,18 +9,20 @@
 from fulmarseam import wire
 
 DEADLINE_HEADER = b'fulmarseam-deadline-ms'
-KEY_HEADER = b'idempotency-key'
+REQUEST_ID_HEADER = b'idempotency-key'
 MAX_DEADLINE_DIGITS = 9
-# The beginning of a body that fingerprints cover, read before dispatch.
-PREFIX_BYTES = 16 * 1024
-# A request is sent again only if its body up to this size was kept.
-REPLAY_BYTES = 64 * 1024
+# Length of the body prefix that fingerprints cover; it is read before the
+# request is sent to a target.
+BODY_PREFIX_BYTES = 16 * 1024
+# A request can be retried only if its body is not larger than this, because
+# larger bodies are not kept.
+MAX_REPLAY_BODY_BYTES = 64 * 1024
 
 
 class RequestContext:
-    """One request: its head, its deadline and the body kept for replay.
+    """One request: its head, its deadline and the body kept for retries.
 
-    `deadline` is in seconds of the event loop's clock.
+    `arrived_at` and `deadline` are in seconds of the event loop's clock.
     """
 
     __slots__ = (
@@ -28,12 +30,12 @@
         'caller',
         'deadline',
         'host',
-        'kept',
-        'kept_bytes',
+        'replay_pieces',
+        'body_bytes',
         'method',
         'path',
-        'prefix',
-        'replayable',
+        'body_prefix',
+        'is_replayable',
         'request',
         'request_id',
         'route',
@@ -54,64 +56,67 @@
         self.route: wire.Route
         self.request_id: str | None = None
         self.traceparent: str | None = None
-        self.kept: list[bytes] = []
-        self.kept_bytes = 0
-        self.prefix = b''
-        self.replayable = True
+        self.replay_pieces: list[bytes] = []
+        self.body_bytes = 0
+        self.body_prefix = b''
+        self.is_replayable = True
         self.runs_as_suspect = False
         self._fingerprint: str | None = None
 
-    def keep(self, piece: bytes) -> None:
-        """Keep a piece sent after the prefix while all fits the bound."""
-        self.kept_bytes += len(piece)
-        if self.kept_bytes > REPLAY_BYTES:
-            self.replayable = False
-            self.kept = []
-        elif self.replayable:
-            self.kept.append(piece)
+    def keep_for_replay(self, piece: bytes) -> None:
+        """Keep a body piece for retries while the body is within the limit."""
+        self.body_bytes += len(piece)
+        if self.body_bytes > MAX_REPLAY_BODY_BYTES:
+            self.is_replayable = False
+            self.replay_pieces = []
+        elif self.is_replayable:
+            self.replay_pieces.append(piece)
 
     def fingerprint(self) -> str:
-        """Return the text that names this request when it is repeated."""
+        """Return a fingerprint that is the same when a request is repeated."""
         if self._fingerprint is None:
             self._fingerprint = steering.compute_fingerprint(
                 self.request_id,
                 self.method,
-                name_host(self.host),
+                normalize_host(self.host),
                 self.path,
-                self.prefix,
+                self.body_prefix,
             )
         return self._fingerprint
 
-    def print_content(self) -> str:
-        """Return the text that tells contents under one key apart."""
+    def content_fingerprint(self) -> str:
+        """Return a fingerprint of the content, without the request id.
+
+        It detects a request id that is used again for another request.
+        """
         return steering.compute_fingerprint(
             None,
             self.method,
-            name_host(self.host),
+            normalize_host(self.host),
             f'{self.path} {self.request.length}',
-            self.prefix,
+            self.body_prefix,
         )
 
     async def read_prefix(self) -> None:
-        """Read the beginning of the body.
+        """Read the body prefix that fingerprints cover.
 
         Raises `http.CallerGoneError` and `errors.FulmarseamError` like
         `poll_body`, and `deadline_unreachable` at the deadline.
         """
         caller = self.caller
-        while not caller.body_done and self.kept_bytes < PREFIX_BYTES:
+        while not caller.body_done and self.body_bytes < BODY_PREFIX_BYTES:
             piece = caller.poll_body()
             if piece:
-                self.kept.append(piece)
-                self.kept_bytes += len(piece)
+                self.replay_pieces.append(piece)
+                self.body_bytes += len(piece)
             elif piece is None:
                 caller.start_body_timeout()
                 await self.wait()
         caller.stop_body_timeout()
-        self.prefix = b''.join(self.kept)[:PREFIX_BYTES]
+        self.body_prefix = b''.join(self.replay_pieces)[:BODY_PREFIX_BYTES]
 
     async def wait(self) -> None:
-        """Wait for news of either side.
+        """Wait for the signal of a connection, a slot or a timer.
 
         Raises `http.CallerGoneError` when the caller has left, and
         `errors.FulmarseamError` with `deadline_unreachable` when the
@@ -128,11 +133,11 @@
             )
 
 
-def name_host(host: str) -> str:
-    """Return the host name without port; empty for an IP address.
+def normalize_host(host: str) -> str:
+    """Return the lower-case host without port; empty for an IP address.
 
-    A request that is sent again through another entry may name that
-    entry's address as its host and is the same request all the same.
+    A caller that uses addresses names another host when it repeats a request
+    through another entry. The fingerprint must be the same nevertheless.
     """
     name = host.partition(']')[0] if host.startswith('[') else host
     name = name.removeprefix('[')
@@ -146,7 +151,7 @@
 
 
 def read_deadline_ms(request: http.Request) -> int | None:
-    """Return the time left as the caller states it, in milliseconds.
+    """Return the remaining time that the caller sent, in milliseconds.
 
     Raises `errors.FulmarseamError` when the header is malformed.
     """
@@ -154,25 +159,28 @@
     if value is None:
         return None
     if not value.isdigit() or len(value) > MAX_DEADLINE_DIGITS:
-        raise _refuse(
-            f'Fulmarseam-Deadline-Ms: found {value!r}, expected milliseconds'
+        raise _make_malformed_error(
+            f'Fulmarseam-Deadline-Ms: found {value!r}, expected a number of '
+            'milliseconds'
         )
     return int(value)
 
 
 def read_request_id(request: http.Request) -> str | None:
-    """Return the key of a request that may run only once.
+    """Return the Idempotency-Key of a request, or None.
 
-    Raises `errors.FulmarseamError` for several keys, as the target could
-    read another one than the entry.
+    Raises `errors.FulmarseamError` for several keys, because the target
+    could use another one than the entry.
     """
-    value = request.fields.get(KEY_HEADER)
+    value = request.fields.get(REQUEST_ID_HEADER)
     if value is None:
         return None
-    if sum(name == KEY_HEADER for name, _ in request.headers) > 1:
-        raise _refuse('repeated Idempotency-Key')
+    if sum(name == REQUEST_ID_HEADER for name, _ in request.headers) > 1:
+        raise _make_malformed_error(
+            'Idempotency-Key: found several headers, expected one'
+        )
     return value.decode('latin-1')
 
 
-def _refuse(detail: str) -> errors.FulmarseamError:
+def _make_malformed_error(detail: str) -> errors.FulmarseamError:
     return errors.FulmarseamError(errors.ErrorKind.MALFORMED_REQUEST, detail)
--- a/fulmarseam/entry/_state.py
+++ b/fulmarseam/entry/_state.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the system and may do at the moment."""
+"""State that an entry receives from the control leader."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
     """The configuration, targets, entries and grants of an entry.
 
     All of it comes from the control leader. `now` is in seconds of the
-    event loop's clock. `on_change` is called after each answer applied.
+    event loop's clock. `on_change` is called after each response applied.
     """
 
     def __init__(self, options: settings.EntrySettings) -> None:
@@ -28,7 +28,7 @@
         )
         self.tables = store.Tables()
         self.targets = membership.TargetMirror()
-        self.entry_rows = membership.EntryMirror()
+        self.entry_mirror = membership.EntryMirror()
         self.slots = steering.SlotBook(options.clock_drift)
         self.links = steering.LinkTokens(drift=options.clock_drift)
         self.shifts = steering.ShiftBook(options.region)
@@ -37,21 +37,27 @@
         self.targets_term = 0
         self.targets_version = 0
         self.draining_entries: dict[ids.EntryId, int] = {}
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _do_nothing
         self._confirmed_at: float | None = None
 
     @property
     def entries(self) -> dict[ids.EntryId, wire.EntryRow]:
-        """Return the rows of the entries by their ids."""
-        return self.entry_rows.rows
+        """Return the rows of all entries by id."""
+        return self.entry_mirror.rows
 
     def is_current(self, now: float) -> bool:
-        """Return whether new work may start under the configuration."""
-        confirmed = self._confirmed_at
-        return confirmed is not None and now - confirmed < self._lease_s
+        """Return whether requests may start under the configuration.
+
+        It must have been confirmed within the configuration lease.
+        """
+        confirmed_at = self._confirmed_at
+        return confirmed_at is not None and now - confirmed_at < self._lease_s
 
     def confirmation_age(self, now: float) -> float | None:
-        """Return the seconds since the configuration was confirmed."""
+        """Return the seconds since the configuration was confirmed.
+
+        None when it has never been confirmed.
+        """
         if self._confirmed_at is None:
             return None
         return now - self._confirmed_at
@@ -59,23 +65,23 @@
     def apply(
         self, sent_at: float, now: float, response: wire.SyncResponse
     ) -> bool:
-        """Take an answer of the leader to a request sent at `sent_at`.
+        """Apply the leader's response to a request sent at `sent_at`.
 
-        Answers of an older term are ignored; returns whether the answer
-        was taken.
+        Responses of an older term are ignored. Returns whether the response
+        was applied.
         """
         if response.term < self.term:
             return False
         self.term = response.term
         self._apply_tables(response)
         self._apply_targets(now, response)
-        if self.entry_rows.apply(now, response):
+        if self.entry_mirror.apply(now, response):
             self._forget_finished_drains()
         self.slots.apply(now, sent_at, response)
         self.links.apply(now, sent_at, response)
-        confirmed = sent_at - response.leadership_age_ms / 1_000
+        confirmed_at = sent_at - response.leadership_age_ms / 1_000
         if self.tables.revision >= response.revision:
-            self._confirmed_at = max(self._confirmed_at or 0.0, confirmed)
+            self._confirmed_at = max(self._confirmed_at or 0.0, confirmed_at)
         self.on_change()
         return True
 
@@ -97,9 +103,9 @@
         )
 
     def _apply_targets(self, now: float, response: wire.SyncResponse) -> None:
-        known = self.targets_term, self.targets_version
-        news = response.term, response.targets_version
-        if news < known:
+        applied_version = self.targets_term, self.targets_version
+        received_version = response.term, response.targets_version
+        if received_version < applied_version:
             return
         if (
             response.targets_full
@@ -108,7 +114,7 @@
             or response.loads
         ):
             self.targets.apply(now, response)
-        self.targets_term, self.targets_version = news
+        self.targets_term, self.targets_version = received_version
 
     def _forget_finished_drains(self) -> None:
         for entry, incarnation in list(self.draining_entries.items()):
@@ -117,38 +123,38 @@
                 del self.draining_entries[entry]
 
     def record_entry_drain(self, entry: ids.EntryId, incarnation: int) -> None:
-        """Note that an entry announced its shutdown by itself."""
+        """Record that an entry announced its own shutdown."""
         self.draining_entries[entry] = incarnation
 
     def find_record_group(
         self, region: ids.RegionName
     ) -> wire.RecordGroup | None:
-        """Return the row of the holders of a region's records."""
+        """Return the row that names the holders of a region's records."""
         return self.tables.get(wire.RecordGroup, region)
 
-    def drained_entries(self) -> set[ids.EntryId]:
-        """Return the entries that look-ups must leave out."""
+    def find_drained_entries(self) -> set[ids.EntryId]:
+        """Return the entries that lookups must leave out."""
         drained = set(self.draining_entries)
         for drain in self.tables.rows(wire.Drain):
             if drain.state in (wire.DrainState.ACTIVE, wire.DrainState.DONE):
-                drained.update(self._find_drained(drain))
+                drained.update(self._find_entries_in_drain(drain))
         return drained
 
-    def _find_drained(self, drain: wire.Drain) -> list[ids.EntryId]:
+    def _find_entries_in_drain(self, drain: wire.Drain) -> list[ids.EntryId]:
         subjects: dict[wire.DrainScope, Callable[[wire.EntryInfo], str]] = {
             wire.DrainScope.ENTRY: lambda info: info.entry,
             wire.DrainScope.DOMAIN: lambda info: info.failure_domain,
             wire.DrainScope.REGION: lambda info: info.region,
         }
-        read = subjects.get(drain.scope)
-        if read is None:
+        get_subject = subjects.get(drain.scope)
+        if get_subject is None:
             return []
         return [
             row.info.entry
             for row in self.entries.values()
-            if read(row.info) == drain.subject
+            if get_subject(row.info) == drain.subject
         ]
 
 
-def _ignore() -> None:
-    """Do nothing on a change."""
+def _do_nothing() -> None:
+    """Ignore a change."""
--- a/fulmarseam/entry/_suspects.py
+++ b/fulmarseam/entry/_suspects.py
@@ -1,4 +1,4 @@
-"""Crash suspects: strikes of this entry and its peers."""
+"""Crash suspects: strikes reported by this entry and its peers."""
 
 import asyncio
 
@@ -9,15 +9,15 @@
 from fulmarseam import telemetry
 from fulmarseam import wire
 
-# Strikes are void after the quarantine; fingerprints are only computed for
-# each request while there may be any.
-MEMORY_S = 600.0
+# Strikes expire with the quarantine. Fingerprints of requests are only
+# computed while there may be unexpired strikes.
+STRIKE_LIFETIME_S = 600.0
 
 _log = logbook.Logger('entry')
 
 
 class Suspects:
-    """The strikes in force, with a cheap test whether there are any."""
+    """The unexpired strikes, with a cheap test whether there are any."""
 
     def __init__(self) -> None:
         self.table = steering.SuspectTable()
@@ -25,15 +25,18 @@
         self._last_strike_at: float | None = None
         self._running: set[str] = set()
 
-    def may_exist(self) -> bool:
-        """Return whether any request may be a suspect."""
-        last = self._last_strike_at
-        return last is not None and self._clock() - last < MEMORY_S
+    def has_recent_strikes(self) -> bool:
+        """Return whether any request may be a suspect or quarantined."""
+        last_strike_at = self._last_strike_at
+        return (
+            last_strike_at is not None
+            and self._clock() - last_strike_at < STRIKE_LIFETIME_S
+        )
 
     def strike(
         self, fingerprint: str, target: ids.TargetId
     ) -> steering.SuspectState:
-        """Count a strike and return the new state of the request."""
+        """Record a strike and return the new state of the request."""
         self._last_strike_at = self._clock()
         state = self.table.strike(
             self._clock(), steering.Strike(fingerprint, target)
@@ -49,31 +52,31 @@
         return state
 
     def is_running(self, fingerprint: str) -> bool:
-        """Return whether this suspect runs on a target already.
+        """Return whether a request with this fingerprint already runs.
 
-        Two copies could break two more targets at once.
+        Two copies of a suspect could break two more targets at once.
         """
         return fingerprint in self._running
 
     def start(self, fingerprint: str, target: ids.TargetId) -> None:
-        """Start a suspect on a target that runs no other."""
+        """Record the start of a suspect on a target that runs no other."""
         self.table.start(self._clock(), fingerprint, target)
         self._running.add(fingerprint)
 
     def finish(self, fingerprint: str, target: ids.TargetId) -> None:
-        """End a suspect that `start` began."""
+        """Record the end of a suspect that was recorded by `start`."""
         self.table.finish(fingerprint, target)
         self._running.discard(fingerprint)
 
-    def take_notice(self, notice: wire.StrikeNotice) -> None:
-        """Take a strike of a peer, or the end of its strikes."""
+    def apply_notice(self, notice: wire.StrikeNotice) -> None:
+        """Apply a strike reported by a peer, or its clearing of strikes."""
         if notice.cleared:
             self.table.clear(notice.fingerprint)
         else:
             self.strike(notice.fingerprint, notice.target)
 
     def list_rows(self) -> list[wire.QuarantineRow]:
-        """Return the fingerprints held back, for the operator."""
+        """Return the suspected and quarantined requests, for operators."""
         return [
             wire.QuarantineRow(
                 fingerprint=row.fingerprint,
--- a/fulmarseam/entry/_syncing.py
+++ b/fulmarseam/entry/_syncing.py
@@ -14,25 +14,26 @@
 from fulmarseam.entry import _announcements
 from fulmarseam.entry import _state
 
-HOLD_MS = 400
-# Time for an answer beyond the time that the leader may hold it. With 0.3 s
-# a group of five is searched within half of the configuration lease of 3 s.
-CALL_TIMEOUT_S = 0.3
+MAX_HOLD_MS = 400
+# Timeout of a call beyond the time for which the leader may hold the response.
+# With 0.3 s the leader of a group of five is found within half of the
+# configuration lease of 3 s.
+RESPONSE_MARGIN_S = 0.3
 URGENT_INTERVAL_S = 0.02
 RETRY_PAUSE_S = 0.05
 MAX_URGENT_CALLS = 8
 
 _log = logbook.Logger('entry')
 
-# Returns a sync request that reports the present, given `wait_ms`.
+# Returns a sync request with the current state, given `wait_ms`.
 MakeRequest = Callable[[int], wire.SyncRequest]
 
 
 class LeaderFinder:
-    """Knows which control member to call next."""
+    """Selects the control member to call next."""
 
     def __init__(self, members: dict[ids.MemberId, str]) -> None:
-        self._order = list(members)
+        self._members = list(members)
         self._clients = {
             member: transport.RpcClient(address)
             for member, address in members.items()
@@ -41,24 +42,25 @@
 
     @property
     def current(self) -> ids.MemberId:
-        """Return the member that is called at present."""
-        return self._order[self._position]
+        """Return the member to call at present."""
+        return self._members[self._position]
 
-    def client(self) -> transport.RpcClient:
-        """Return the client of the current member."""
+    def get_client(self) -> transport.RpcClient:
+        """Return the RPC client of the current member."""
         return self._clients[self.current]
 
     def advance(self, member: ids.MemberId, hint: str | None = None) -> None:
-        """Move on from a member that does not lead, as hinted if it did.
+        """Select the next member after one that is not the leader.
 
-        Nothing changes when another call has moved on already.
+        `hint` is the leader named by that member, if any. Nothing changes
+        when another call has already selected a different member.
         """
         if member != self.current:
             return
         if hint is not None and hint != member and hint in self._clients:
-            self._position = self._order.index(ids.MemberId(hint))
+            self._position = self._members.index(ids.MemberId(hint))
             return
-        self._position = (self._position + 1) % len(self._order)
+        self._position = (self._position + 1) % len(self._members)
 
     def count_bytes(self) -> int:
         """Return the bytes sent and received by all clients."""
@@ -68,7 +70,7 @@
         )
 
     def open(self) -> None:
-        """Start to connect to all members."""
+        """Start connecting to all members."""
         for client in self._clients.values():
             client.open()
 
@@ -81,8 +83,8 @@
 class Synchronizer:
     """Keeps a long poll open to the leader; a context manager.
 
-    `request_now` sends one more request beside it, at most one every
-    20 ms, which the leader answers at once.
+    `request_now` sends an additional request, at most one every 20 ms, to
+    which the leader responds at once.
     """
 
     def __init__(
@@ -93,81 +95,84 @@
         make_request: MakeRequest,
         raise_incarnation: Callable[[], None],
     ) -> None:
-        self._finder = LeaderFinder(members)
+        self._leader_finder = LeaderFinder(members)
         self._state = state
         self._announcements = announcements
         self._make_request = make_request
         self._raise_incarnation = raise_incarnation
         self._loop = asyncio.get_running_loop()
         self._next_urgent_at = 0.0
-        self._timer: asyncio.TimerHandle | None = None
+        self._urgent_timer: asyncio.TimerHandle | None = None
         self._poll_task: asyncio.Task[None] | None = None
-        self._urgent: set[asyncio.Task[bool]] = set()
+        self._urgent_tasks: set[asyncio.Task[bool]] = set()
 
     def count_bytes(self) -> int:
         """Return the bytes sent to and received from control members."""
-        return self._finder.count_bytes()
+        return self._leader_finder.count_bytes()
 
     @property
     def leader(self) -> ids.MemberId:
-        """Return the member that is taken for the leader."""
-        return self._finder.current
+        """Return the member that is believed to be the leader."""
+        return self._leader_finder.current
 
     async def __aenter__(self) -> Self:
-        self._finder.open()
+        self._leader_finder.open()
         self._poll_task = asyncio.create_task(self._poll())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         tasks: list[asyncio.Task[None] | asyncio.Task[bool]]
-        tasks = [*self._urgent]
+        tasks = [*self._urgent_tasks]
         if self._poll_task is not None:
             tasks.append(self._poll_task)
-        if self._timer is not None:
-            self._timer.cancel()
+        if self._urgent_timer is not None:
+            self._urgent_timer.cancel()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        self._finder.close()
+        self._leader_finder.close()
 
     def request_now(self) -> None:
-        """Sync now, or 20 ms after the last time."""
-        if self._timer is None:
-            at = max(self._loop.time(), self._next_urgent_at)
-            self._timer = self._loop.call_at(at, self._start_urgent)
+        """Sync now, or 20 ms after the last additional request."""
+        if self._urgent_timer is None:
+            start_at = max(self._loop.time(), self._next_urgent_at)
+            self._urgent_timer = self._loop.call_at(
+                start_at, self._start_urgent
+            )
 
     def _start_urgent(self) -> None:
-        self._timer = None
+        self._urgent_timer = None
         self._next_urgent_at = self._loop.time() + URGENT_INTERVAL_S
-        if len(self._urgent) >= MAX_URGENT_CALLS:
+        if len(self._urgent_tasks) >= MAX_URGENT_CALLS:
             return
         task = asyncio.create_task(self._call(wait_ms=0))
-        self._urgent.add(task)
-        task.add_done_callback(self._urgent.discard)
+        self._urgent_tasks.add(task)
+        task.add_done_callback(self._urgent_tasks.discard)
 
     async def _poll(self) -> None:
-        # While the leader is searched no member may hold the answer, so that
-        # one that does not answer costs little of the configuration lease.
+        # During the search for the leader no member may hold its response, so
+        # that a member that does not respond uses up little of the
+        # configuration lease.
         hold_ms = 0
         while True:
             started = self._loop.time()
             try:
-                found = await self._call(hold_ms)
+                leader_answered = await self._call(hold_ms)
             except Exception:
                 _log.exception('event=sync_failed')
-                found = False
-            hold_ms = HOLD_MS if found else 0
-            pause = URGENT_INTERVAL_S if found else RETRY_PAUSE_S
-            await asyncio.sleep(started + pause - self._loop.time())
+                leader_answered = False
+            hold_ms = MAX_HOLD_MS if leader_answered else 0
+            pause_s = URGENT_INTERVAL_S if leader_answered else RETRY_PAUSE_S
+            await asyncio.sleep(started + pause_s - self._loop.time())
 
     async def _call(self, wait_ms: int) -> bool:
-        """Make one sync; return whether the leader has answered."""
-        member = self._finder.current
+        """Make one sync call; return whether the leader has responded."""
+        member = self._leader_finder.current
         request = self._make_request(wait_ms)
         sent_at = self._loop.time()
         try:
-            answer = await self._finder.client().call(
-                request, wait_ms / 1_000 + CALL_TIMEOUT_S
+            response = await self._leader_finder.get_client().call(
+                request, wait_ms / 1_000 + RESPONSE_MARGIN_S
             )
         except errors.FulmarseamError as error:
             _log.debug(
@@ -175,24 +180,24 @@
                     'sync_unanswered', member=member, error=error.detail
                 )
             )
-            self._finder.advance(member)
+            self._leader_finder.advance(member)
             return False
-        if isinstance(answer, wire.SyncResponse):
-            return self._take(sent_at, request, answer)
-        self._take_failure(member, answer)
+        if isinstance(response, wire.SyncResponse):
+            return self._apply_response(sent_at, request, response)
+        self._handle_failure(member, response)
         return False
 
-    def _take_failure(
-        self, member: ids.MemberId, answer: wire.Message
+    def _handle_failure(
+        self, member: ids.MemberId, response: wire.Message
     ) -> None:
-        if not isinstance(answer, wire.Failure):
-            self._finder.advance(member)
-        elif answer.kind == errors.ErrorKind.VERSION_CONFLICT.value:
+        if not isinstance(response, wire.Failure):
+            self._leader_finder.advance(member)
+        elif response.kind == errors.ErrorKind.VERSION_CONFLICT.value:
             self._raise_incarnation()
         else:
-            self._finder.advance(member, answer.leader)
+            self._leader_finder.advance(member, response.leader)
 
-    def _take(
+    def _apply_response(
         self,
         sent_at: float,
         request: wire.SyncRequest,
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -176,9 +176,9 @@
         await self.wait_until(lambda: self.running == 1)
         _, writer = await self.connect(self.options.listen)
         writer.write(b'GET /gone HTTP/1.1\r\nHost: a\r\n\r\n')
-        await self.wait_until(lambda: self.entry.callers.busy == 2)
+        await self.wait_until(lambda: self.entry.caller_server.busy == 2)
         writer.close()
-        await self.wait_until(lambda: self.entry.callers.busy == 1)
+        await self.wait_until(lambda: self.entry.caller_server.busy == 1)
         gate.set()
         await first
         answer = await self.call('/b')
@@ -242,7 +242,7 @@
         )
         # More requests wait in the queue when the target is lost.
         waiting += [asyncio.create_task(self.call('/same')) for _ in range(9)]
-        await self.wait_until(lambda: self.entry.callers.busy == 11)
+        await self.wait_until(lambda: self.entry.caller_server.busy == 11)
         self.leader.slots['t1'] = 0
         await self.start_target(crash, 't2', slots=2)
         gate.set()
@@ -269,11 +269,11 @@
         await self.start_target(serve, 't1', slots=3)
         await self.start_target(serve, 't2', slots=3)
         held_print = entry_case.compute_fingerprint('GET', 'a', '/held')
-        self.entry.suspects.take_notice(
+        self.entry.suspects.apply_notice(
             wire.StrikeNotice(fingerprint=held_print, target='t9')
         )
         held = [asyncio.create_task(self.call('/held')) for _ in range(2)]
-        await self.wait_until(lambda: self.entry.callers.busy == 2)
+        await self.wait_until(lambda: self.entry.caller_server.busy == 2)
         await asyncio.sleep(0.05)
         self.assertEqual(1, self.entry.state.slots.total_in_flight())
         answer = await self.call('/other')
@@ -303,7 +303,7 @@
         # The fingerprint of the request as a peer computes it.
         await self.call('/other')
         job_print = entry_case.compute_fingerprint('GET', 'a', '/crash')
-        self.entry.suspects.take_notice(
+        self.entry.suspects.apply_notice(
             wire.StrikeNotice(fingerprint=job_print, target='t9')
         )
         answer = await self.call('/crash')
@@ -469,7 +469,7 @@
 
         with mock.patch.object(self.record_service, 'claim', wait):
             waiting = asyncio.create_task(self.post())
-            await self.wait_until(lambda: self.entry.callers.busy == 1)
+            await self.wait_until(lambda: self.entry.caller_server.busy == 1)
             await asyncio.sleep(0.1)
             self.assertEqual(0, self.entry.state.slots.total_in_flight())
             self.assertEqual(200, (await waiting).status)
