--- a/fulmarseam/client/_lookup.py
+++ b/fulmarseam/client/_lookup.py
@@ -101,7 +101,7 @@
     def _accept(self, reply: _exchange.Reply, sent_at: float) -> None:
         if reply.status != 200:
             raise msgspec.ValidationError(
-                f'lookup: found status {reply.status}, expected 200'
+                f'lookup: expected status 200, found {reply.status}'
             )
         answer = msgspec.json.decode(reply.body, type=LookupAnswer)
         self._answer = answer
--- a/fulmarseam/entry/_outcomes.py
+++ b/fulmarseam/entry/_outcomes.py
@@ -20,7 +20,7 @@
     """Why an attempt failed and whether another one is allowed."""
 
     error: errors.FulmarseamError
-    may_retry: bool
+    may_repeat: bool
 
 
 class OutcomeHandler:
@@ -120,10 +120,10 @@
         context: _requests.RequestContext,
         kind: errors.ErrorKind,
         error: Exception,
-        may_retry: bool,
+        may_repeat: bool,
     ) -> FailedAttempt:
         retryable = (
-            may_retry
+            may_repeat
             and context.is_replayable
             and not context.caller.response_started
             and not context.caller.gone
--- a/fulmarseam/entry/_placement.py
+++ b/fulmarseam/entry/_placement.py
@@ -103,7 +103,8 @@
         if queued.placement is None:
             assert queued.refusal is not None
             raise errors.FulmarseamError(
-                queued.refusal, f'no slot available in pool {pool.pool.name}'
+                queued.refusal,
+                f'no slot of pool {pool.pool.name} is available',
             )
         return queued.placement
 
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -134,7 +134,7 @@
         pool = self._pools.get(name)
         if pool is None:
             raise errors.FulmarseamError(
-                errors.ErrorKind.NO_TARGET, f'pool {name} does not exist'
+                errors.ErrorKind.NO_TARGET, f'found no pool named {name}'
             )
         return pool
 
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -223,7 +223,7 @@
             if failed.error.answer.outcome is not errors.Outcome.NOT_RUN:
                 may_have_run = failed.error
             avoided |= {placement.choice.target}
-            if not attempts_left or not failed.may_retry:
+            if not attempts_left or not failed.may_repeat:
                 raise may_have_run or failed.error
             if (
                 not self._has_untried_target(pool, avoided)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the caller and target helpers."""
+"""Tests of the client library for callers and targets."""
 
 import json
 import unittest
@@ -13,7 +13,7 @@
 
 
 def make_report() -> wire.TargetReport:
-    """Return a report that lacks its number."""
+    """Return a report whose sequence number is not set yet."""
     return wire.TargetReport(
         target='t1',
         pool='katalog',
@@ -29,14 +29,14 @@
 
 
 class FakeEntry:
-    """An entry whose answers to calls are given; it records requests."""
+    """An entry with scripted responses that records its requests."""
 
     def __init__(self, responses: list[_server.ServerResponse]) -> None:
         self.address = _loopback.find_free_address()
         self.responses = responses
         self.requests: list[_server.ServerRequest] = []
-        self.lookups = 0
-        self.named: list[str] = [self.address]
+        self.lookup_count = 0
+        self.lookup_addresses: list[str] = [self.address]
         self.announce_status = 200
         self.server = _server.Server(self.address, self.handle)
 
@@ -44,7 +44,7 @@
         self, request: _server.ServerRequest
     ) -> _server.ServerResponse:
         if request.path.startswith('/v1/lookup'):
-            self.lookups += 1
+            self.lookup_count += 1
             return _server.ServerResponse(200, {}, self.make_lookup())
         self.requests.append(request)
         if request.path == '/v1/announce':
@@ -54,7 +54,7 @@
     def make_lookup(self) -> bytes:
         entries = [
             {'entry': f'e{number}', 'address': address}
-            for number, address in enumerate(self.named)
+            for number, address in enumerate(self.lookup_addresses)
         ]
         home = {'home': 'ost', 'generation': 7}
         answer = {
@@ -65,23 +65,23 @@
         return json.dumps(answer).encode()
 
 
-def decline(kind: str, outcome: str) -> _server.ServerResponse:
-    """Return an entry's own answer."""
+def make_error_response(kind: str, outcome: str) -> _server.ServerResponse:
+    """Return an error response of an entry."""
     headers = {'Fulmarseam-Kind': kind, 'Fulmarseam-Outcome': outcome}
     return _server.ServerResponse(503, headers)
 
 
 class CallerTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against a caller that repeats what may have run."""
+    """Guards against a caller that retries a call that may have run."""
 
     async def call(self, first: FakeEntry, second: FakeEntry) -> client.Result:
-        first.named = [first.address, second.address]
+        first.lookup_addresses = [first.address, second.address]
         async with first.server, second.server:
             async with client.Caller([first.address], 'ost') as caller:
                 return await caller.call(REQUEST, 2_000, once=True)
 
-    async def test_not_run_goes_on_with_the_same_request_id(self) -> None:
-        first = FakeEntry([decline('no_capacity', 'not-run')])
+    async def test_not_run_is_retried_with_the_same_request_id(self) -> None:
+        first = FakeEntry([make_error_response('no_capacity', 'not-run')])
         second = FakeEntry([_server.ServerResponse(200, {}, b'done')])
         result = await self.call(first, second)
         self.assertEqual(errors.Outcome.ANSWERED, result.outcome)
@@ -93,22 +93,25 @@
         self.assertRegex(sent[0], r'^ost\.7\.[0-9a-f]{32}$')
 
     async def test_unknown_is_not_sent_to_another_entry(self) -> None:
-        first = FakeEntry([decline('target_failed', 'unknown')])
+        first = FakeEntry([make_error_response('target_failed', 'unknown')])
         second = FakeEntry([])
         result = await self.call(first, second)
         self.assertEqual(errors.Outcome.UNKNOWN, result.outcome)
         self.assertEqual([], second.requests)
 
-    async def test_not_run_for_good_is_not_sent_on(self) -> None:
-        first = FakeEntry([decline('route_retired', 'not-run')])
+    async def test_permanent_refusal_is_not_retried(self) -> None:
+        first = FakeEntry([make_error_response('route_retired', 'not-run')])
         second = FakeEntry([])
         result = await self.call(first, second)
         self.assertEqual(errors.Outcome.NOT_RUN, result.outcome)
         self.assertEqual([], second.requests)
 
-    async def test_connection_that_cannot_open_goes_on(self) -> None:
+    async def test_failed_connect_is_retried_at_the_next_entry(self) -> None:
         second = FakeEntry([_server.ServerResponse(200, {}, b'done')])
-        second.named = [_loopback.find_free_address(), second.address]
+        second.lookup_addresses = [
+            _loopback.find_free_address(),
+            second.address,
+        ]
         async with second.server:
             async with client.Caller([second.address], 'ost') as caller:
                 result = await caller.call(REQUEST, 2_000, once=True)
@@ -124,17 +127,17 @@
         self.assertIsNone(result.reply)
         self.assertTrue(result.attempts[-1].started)
 
-    async def test_lookup_is_kept_for_its_lifetime(self) -> None:
+    async def test_lookup_answer_is_cached_for_its_ttl(self) -> None:
         done = _server.ServerResponse(200, {}, b'done')
         entry = FakeEntry([done] * 5)
         async with entry.server:
             async with client.Caller([entry.address], 'ost') as caller:
                 for _ in range(5):
                     await caller.call(REQUEST, 2_000)
-        self.assertEqual(1, entry.lookups)
+        self.assertEqual(1, entry.lookup_count)
 
     async def test_repeated_call_keeps_its_request_id(self) -> None:
-        unknown = decline('target_failed', 'unknown')
+        unknown = make_error_response('target_failed', 'unknown')
         done = _server.ServerResponse(200, {}, b'done')
         entry = FakeEntry([unknown, done])
         async with entry.server:
@@ -150,41 +153,42 @@
 
 
 class OverloadTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against calls that multiply when every entry refuses."""
+    """Guards against retries that multiply the load when entries refuse."""
 
-    async def test_refusals_for_lack_of_room_are_retried_in_a_budget(
+    async def test_overload_refusals_are_retried_within_a_budget(
         self,
     ) -> None:
-        full = decline('queue_full', 'not-run')
-        first = FakeEntry([full] * 50)
-        second = FakeEntry([full] * 50)
-        first.named = [first.address, second.address]
+        refusal = make_error_response('queue_full', 'not-run')
+        first = FakeEntry([refusal] * 50)
+        second = FakeEntry([refusal] * 50)
+        first.lookup_addresses = [first.address, second.address]
         async with first.server, second.server:
             async with client.Caller([first.address], 'ost') as caller:
                 for _ in range(50):
                     await caller.call(REQUEST, 2_000)
         self.assertEqual(50, len(first.requests))
-        # One token at first and a tenth for each of the 50 calls.
+        # The retry budget starts with one token and gains a tenth of a token
+        # for each of the 50 calls.
         self.assertIn(len(second.requests), (5, 6))
 
 
 class AnnouncerTest(unittest.IsolatedAsyncioTestCase):
     """Guards against lost or reordered announcements."""
 
-    async def test_next_entry_is_told_with_a_higher_number(self) -> None:
+    async def test_next_entry_gets_a_higher_sequence_number(self) -> None:
         first, second = FakeEntry([]), FakeEntry([])
         first.announce_status = 503
         announcer = client.Announcer(
             [first.address, second.address], make_report, 0.75
         )
         async with first.server, second.server:
-            taken = await announcer.announce()
+            confirmed = await announcer.announce()
             announcer.close()
         sent = [
             json.loads(entry.requests[0].body)['sequence']
             for entry in (first, second)
         ]
-        self.assertTrue(taken)
+        self.assertTrue(confirmed)
         self.assertEqual([1, 2], sent)
 
     async def test_leave_goes_to_all_entries(self) -> None:
@@ -193,10 +197,10 @@
             [entry.address for entry in entries], make_report, 0.75
         )
         async with entries[0].server, entries[1].server:
-            taken = await announcer.leave()
+            confirmed = await announcer.leave()
             announcer.close()
         states = [
             json.loads(entry.requests[0].body)['state'] for entry in entries
         ]
-        self.assertTrue(taken)
+        self.assertTrue(confirmed)
         self.assertEqual(['leaving', 'leaving'], states)
--- a/tests/test_entry_api.py
+++ b/tests/test_entry_api.py
@@ -1,4 +1,4 @@
-"""Tests of look-ups, announcements, sync and shutdown of an entry."""
+"""Tests of lookups, announcements, sync and shutdown of an entry."""
 
 import asyncio
 from typing import Any
@@ -15,10 +15,10 @@
 OK = entry_case.OK
 
 
-def make_row(
+def make_entry_row(
     name: str, region: str = 'ost', domain: str = 'ost-b', **changes: Any
 ) -> wire.EntryRow:
-    """Return the row of another entry."""
+    """Return the entry table row of another entry."""
     info = wire.EntryInfo(
         entry=ids.EntryId(name),
         incarnation=1,
@@ -32,7 +32,10 @@
 
 
 class LookupTest(entry_case.EntryCase):
-    """Guards against look-ups that name entries which are going away."""
+    """Guards against lookup answers that list dead or draining entries.
+
+    Callers would send requests to entries that refuse or do not respond.
+    """
 
     rows: ClassVar[list[wire.Row]] = [
         wire.Block(name='10.0.0.0/8', region=ids.RegionName('west')),
@@ -44,16 +47,16 @@
     async def look_up(self, query: str) -> list[str]:
         _, content = await self.call_api('/v1/lookup?' + query)
         assert isinstance(content, dict)
-        return [item['entry'] for item in content['entries']]
+        return [entry['entry'] for entry in content['entries']]
 
     async def test_own_region_comes_first(self) -> None:
-        self.leader.entries['e2'] = make_row('e2')
-        self.leader.entries['w1'] = make_row('w1', 'west', 'west-a')
+        self.leader.entries['e2'] = make_entry_row('e2')
+        self.leader.entries['w1'] = make_entry_row('w1', 'west', 'west-a')
         self.entry.synchronizer.request_now()
         await self.wait_until(lambda: len(self.entry.state.entries) == 3)
-        near = await self.look_up('region=ost')
-        self.assertEqual({'e1', 'e2'}, set(near[:2]))
-        self.assertEqual('w1', near[2])
+        entries = await self.look_up('region=ost')
+        self.assertEqual({'e1', 'e2'}, set(entries[:2]))
+        self.assertEqual('w1', entries[2])
         self.assertEqual('w1', (await self.look_up('address=10.1.2.3'))[0])
         self.assertNotEqual('w1', (await self.look_up('address=11.1.2.3'))[0])
 
@@ -66,19 +69,19 @@
             {'home': 'ost', 'generation': 7}, content['record_home']
         )
         tag = answer.headers['etag']
-        again, _ = await self.call_api(
+        revalidated, _ = await self.call_api(
             '/v1/lookup?region=ost', headers=f'If-None-Match: {tag}\r\n'
         )
-        self.assertEqual((304, b''), (again.status, again.body))
+        self.assertEqual((304, b''), (revalidated.status, revalidated.body))
 
     async def test_drained_and_dead_entries_are_left_out(self) -> None:
         for name in ('e2', 'e3', 'e4', 'e5'):
-            self.leader.entries[name] = make_row(name)
+            self.leader.entries[name] = make_entry_row(name)
         self.leader.entries['e2'] = msgspec.structs.replace(
-            make_row('e2'), draining=True
+            make_entry_row('e2'), draining=True
         )
         self.leader.entries['e3'] = msgspec.structs.replace(
-            make_row('e3'), alive=False
+            make_entry_row('e3'), alive=False
         )
         self.leader.set_rows(
             [
@@ -108,7 +111,10 @@
 
 
 class AnnouncementTest(entry_case.EntryCase):
-    """Guards against announcements that are confirmed but lost (P6)."""
+    """Guards against announcements that are confirmed but lost (P6).
+
+    An entry may confirm an announcement only once the leader has it.
+    """
 
     async def test_confirmed_announcement_is_at_the_leader(self) -> None:
         target = await self.enterAsyncContext(
@@ -141,15 +147,15 @@
         self.assertEqual([], self.leader.targets.all())
 
     async def test_leave_stops_new_work_and_reaches_peers(self) -> None:
-        notices: list[wire.Message] = []
+        received_notices: list[wire.Message] = []
 
-        async def keep(message: wire.Message) -> wire.Message:
-            notices.append(message)
+        async def record_notice(message: wire.Message) -> wire.Message:
+            received_notices.append(message)
             return wire.Ok()
 
         rpc = fakes.find_free_address()
-        await self.enterAsyncContext(transport.RpcServer(rpc, keep))
-        self.leader.entries['e2'] = make_row('e2', rpc=rpc)
+        await self.enterAsyncContext(transport.RpcServer(rpc, record_notice))
+        self.leader.entries['e2'] = make_entry_row('e2', rpc=rpc)
         target = await self.start_target(fakes.answer_always(OK))
         # The leader cannot be reached when the target leaves.
         self.leader.silent = True
@@ -158,8 +164,8 @@
         answer = await self.call(headers='Fulmarseam-Deadline-Ms: 100\r\n')
         self.assertEqual('not-run', answer.outcome)
         self.assertEqual(b'', target.received_bytes)
-        await self.wait_until(lambda: notices)
-        self.assertEqual([wire.LeaveNotice(report=report)], notices)
+        await self.wait_until(lambda: received_notices)
+        self.assertEqual([wire.LeaveNotice(report=report)], received_notices)
 
     async def test_leave_of_a_peer_stops_new_work(self) -> None:
         target = await self.start_target(fakes.answer_always(OK))
@@ -179,7 +185,10 @@
 
 
 class LeaseTest(entry_case.EntryCase):
-    """Guards against work under a configuration that may be old (P8)."""
+    """Guards against requests run under a stale configuration (P8).
+
+    It is stale when no leader has confirmed it within the lease.
+    """
 
     changes: ClassVar[dict[str, object]] = {'config_lease_ms': 700}
 
@@ -194,7 +203,7 @@
         self.assertEqual(received, target.received_bytes)
 
     async def test_isolated_leader_does_not_confirm(self) -> None:
-        """Its answers arrive, but no majority has confirmed it lately."""
+        """The leader responds, but no majority has confirmed it recently."""
         await self.start_target(fakes.answer_always(OK))
         self.leader.age_ms = 800
         await asyncio.sleep(0.75)
@@ -210,7 +219,7 @@
         self.assertEqual(5, self.entry.state.term)
         self.assertEqual(2, self.entry.state.tables.revision)
 
-    async def test_edit_is_in_force_at_once(self) -> None:
+    async def test_edit_is_applied_at_once(self) -> None:
         self.leader.set_rows(
             [wire.Pool(name=fakes.POOL), entry_case.make_route(retired=True)]
         )
@@ -219,9 +228,9 @@
 
 
 class LeaderSearchTest(entry_case.EntryCase):
-    """Guards against an entry that stays with a member that has no lead."""
+    """Guards against an entry that keeps calling a member without lead."""
 
-    async def test_hint_and_silence_lead_to_the_leader(self) -> None:
+    async def test_leader_is_found_after_silence_and_a_hint(self) -> None:
         async def refuse(message: wire.Message) -> wire.Message:
             return wire.Failure('not_leader', leader='c3')
 
@@ -236,17 +245,17 @@
                 'c3': self.leader.address,
             },
         )
-        found = self.start_entry(options)
-        await self.wait_until(lambda: found.state.term > 0)
-        self.assertEqual('c3', found.synchronizer.leader)
+        entry = self.start_entry(options)
+        await self.wait_until(lambda: entry.state.term > 0)
+        self.assertEqual('c3', entry.synchronizer.leader)
 
     async def test_refused_incarnation_is_raised(self) -> None:
-        """The clock has stepped back since the last start (F12)."""
-        known = self.entry.reporter.incarnation + 100_000
+        """The clock was set back since the previous start (F12)."""
+        accepted_incarnation = self.entry.reporter.incarnation + 100_000
 
         async def refuse(message: wire.Message) -> wire.Message:
             assert isinstance(message, wire.SyncRequest)
-            if message.info.incarnation < known:
+            if message.info.incarnation < accepted_incarnation:
                 return wire.Failure('version_conflict')
             return await self.leader.handle(message)
 
@@ -255,35 +264,40 @@
         options = fakes.make_options(
             self.leader, entry_id='e9', control={'c1': address}
         )
-        found = self.start_entry(options)
-        await self.wait_until(lambda: found.state.term > 0)
-        self.assertGreaterEqual(found.reporter.incarnation, known)
+        entry = self.start_entry(options)
+        await self.wait_until(lambda: entry.state.term > 0)
+        self.assertGreaterEqual(
+            entry.reporter.incarnation, accepted_incarnation
+        )
 
 
 class DrainTest(entry_case.EntryCase):
-    """Guards against requests cut by a graceful shutdown (P7)."""
+    """Guards against requests interrupted by a graceful shutdown (P7).
+
+    Callers use an entry until their cached lookup answers expire.
+    """
 
     changes: ClassVar[dict[str, object]] = {'lookup_ttl_ms': 1_000}
 
-    async def test_shutdown_serves_until_answers_have_lapsed(self) -> None:
-        gate = asyncio.Event()
+    async def test_shutdown_serves_until_lookup_answers_expire(self) -> None:
+        release = asyncio.Event()
 
         async def serve(
             target: fakes.FakeTarget,
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            kept = bytearray()
+            buffer = bytearray()
             while True:
-                request = await fakes.read_request(target, reader, kept)
+                request = await fakes.read_request(target, reader, buffer)
                 if b'/slow' in request:
-                    await gate.wait()
+                    await release.wait()
                 writer.write(OK)
 
         await self.start_target(serve)
-        idle, _ = await self.connect(self.options.listen)
-        kept, writer = await self.connect(self.options.listen)
-        slow = asyncio.create_task(self.call('/slow'))
+        idle_reader, _ = await self.connect(self.options.listen)
+        persistent, writer = await self.connect(self.options.listen)
+        slow_call = asyncio.create_task(self.call('/slow'))
         await self.wait_until(lambda: self.entry.caller_server.busy == 1)
         started = asyncio.get_running_loop().time()
         self.entry.stop_requested.set()
@@ -292,19 +306,19 @@
         assert isinstance(content, dict)
         self.assertEqual([], content['entries'])
         for _ in range(4):
-            # A new caller and one that keeps its connection are served.
+            # Requests on a new and on a persistent connection are served.
             self.assertEqual(200, (await self.call()).status)
-            if not kept.at_eof():
+            if not persistent.at_eof():
                 writer.write(b'GET / HTTP/1.1\r\nHost: a\r\n\r\n')
-                head = await kept.readuntil(b'\r\n\r\n')
+                head = await persistent.readuntil(b'\r\n\r\n')
                 self.assertIn(b' 200 ', head)
-                await kept.readexactly(2)
+                await persistent.readexactly(2)
             await asyncio.sleep(0.45)
-        self.assertEqual(b'', await idle.read())
+        self.assertEqual(b'', await idle_reader.read())
         with self.assertRaises(ConnectionError):
             await self.call()
         self.assertGreaterEqual(
             asyncio.get_running_loop().time() - started, 2.0
         )
-        gate.set()
-        self.assertEqual(200, (await slow).status)
+        release.set()
+        self.assertEqual(200, (await slow_call).status)
--- a/tests/test_entry_proxy.py
+++ b/tests/test_entry_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the proxy path of an entry."""
+"""Tests of request routing, forwarding and outcomes of an entry."""
 
 import asyncio
 import json
@@ -15,16 +15,16 @@
 
 
 def serve_bytes(answer: bytes) -> fakes.Behaviour:
-    """Return a behaviour that answers one request and then closes."""
+    """Return a behaviour that responds to one request and then closes."""
 
     async def serve(
         target: fakes.FakeTarget,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        kept = bytearray()
-        target.received.append(kept)
-        await fakes.read_request(target, reader, kept)
+        buffer = bytearray()
+        target.received.append(buffer)
+        await fakes.read_request(target, reader, buffer)
         writer.write(answer)
 
     return serve
@@ -35,12 +35,12 @@
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Read and never answer."""
-    kept = bytearray()
-    target.received.append(kept)
+    """Read and never respond."""
+    buffer = bytearray()
+    target.received.append(buffer)
     while data := await reader.read(65_536):
-        kept += data
-    kept += b'<closed>'
+        buffer += data
+    buffer += b'<closed>'
 
 
 class RoutingTest(entry_case.EntryCase):
@@ -105,8 +105,8 @@
         self.assertEqual('GET', answer.headers['allow'])
 
 
-class PassingTest(entry_case.EntryCase):
-    """Guards against requests and answers that change on the way."""
+class ForwardingTest(entry_case.EntryCase):
+    """Guards against requests and responses altered by the proxy."""
 
     async def test_headers_of_one_connection_are_not_passed_on(self) -> None:
         answer = (
@@ -137,8 +137,8 @@
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            kept = bytearray()
-            target.received.append(kept)
+            buffer = bytearray()
+            target.received.append(buffer)
             head = await reader.readuntil(b'\r\n\r\n')
             writer.write(b'HTTP/1.1 200 OK\r\nConnection: close\r\n')
             chunked = b'transfer-encoding: chunked' in head.lower()
@@ -209,15 +209,19 @@
         reader, writer = await self.connect(self.options.listen)
         writer.write(b'GET / HTTP/1.1\r\nHost: a\r\n\r\n')
         await asyncio.sleep(0.3)
-        held = sent
+        sent_at_stall = sent
         await asyncio.sleep(0.2)
-        self.assertEqual(held, sent)
-        self.assertLess(held, 32 * 1024 * 1024)
+        self.assertEqual(sent_at_stall, sent)
+        self.assertLess(sent_at_stall, 32 * 1024 * 1024)
         writer.transport.abort()
 
 
 class RetryOutcomeTest(entry_case.EntryCase):
-    """Guards against a failed retry that hides a first run (P4)."""
+    """Guards against a failed retry that hides an earlier run (P4).
+
+    When an earlier attempt may have run the request, the outcome is unknown
+    even if the retry is refused.
+    """
 
     rows: ClassVar[list[wire.Row]] = [
         wire.Pool(name=fakes.POOL, retry_ratio=1.0),
@@ -227,13 +231,13 @@
     async def start_pair(
         self, second: fakes.Behaviour, slots: int = 4
     ) -> list[fakes.FakeTarget]:
-        """Start a near target that breaks off and another one."""
-        near = await self.start_target(serve_bytes(b''), 't1')
-        far = await self.enterAsyncContext(fakes.FakeTarget(second))
-        report = far.make_report('t2', slots)
+        """Start a preferred target that closes early, and another one."""
+        preferred = await self.start_target(serve_bytes(b''), 't1')
+        other = await self.enterAsyncContext(fakes.FakeTarget(second))
+        report = other.make_report('t2', slots)
         self.announce(msgspec.structs.replace(report, failure_domain='ost-b'))
         await self.wait_until(lambda: self.is_usable('t2'))
-        return [near, far]
+        return [preferred, other]
 
     async def test_request_shed_by_the_second_target_is_unknown(self) -> None:
         targets = await self.start_pair(fakes.answer_always(SHED))
@@ -243,19 +247,19 @@
         self.assertEqual((502, 'target_failed', 'unknown'), answer.describe())
 
     async def test_request_without_a_second_slot_is_unknown(self) -> None:
-        _, far = await self.start_pair(stay_silent, slots=1)
-        holding = asyncio.create_task(self.call('/held'))
-        await self.wait_until(lambda: far.received_bytes)
+        _, other = await self.start_pair(stay_silent, slots=1)
+        held_call = asyncio.create_task(self.call('/held'))
+        await self.wait_until(lambda: other.received_bytes)
         answer = await self.call(
             '/x', headers='Fulmarseam-Deadline-Ms: 300\r\n'
         )
-        self.assertNotIn(b'/x', far.received_bytes)
+        self.assertNotIn(b'/x', other.received_bytes)
         self.assertEqual((502, 'target_failed', 'unknown'), answer.describe())
-        holding.cancel()
+        held_call.cancel()
 
 
 class OutcomeTest(entry_case.EntryCase):
-    """Guards against "not run" for a request that may have run (P4)."""
+    """Guards against "not-run" for a request that may have run (P4)."""
 
     async def test_outcomes_agree_with_what_the_target_received(
         self,
@@ -295,9 +299,9 @@
                 )
                 self.assertEqual(expected, answer.describe())
                 self.assertNotEqual(b'', target.received_bytes)
-                self.leave(target, label)
+                self.withdraw_target(target, label)
 
-    def leave(self, target: fakes.FakeTarget, name: str) -> None:
+    def withdraw_target(self, target: fakes.FakeTarget, name: str) -> None:
         """Take a target out of service."""
         report = target.make_report(
             name, state=wire.TargetState.LEAVING, sequence=9
@@ -329,21 +333,21 @@
             answer = await self.call(f'/{number}')
             self.assertEqual(200, answer.status)
             self.assertEqual(expected, answer.body)
-            self.leave(target, name)
+            self.withdraw_target(target, name)
 
     async def test_request_on_a_reused_connection_is_sent_once(self) -> None:
-        """The target closes a kept connection while a request is on it."""
+        """The target closes a reused connection once the request was sent."""
 
         async def serve(
             target: fakes.FakeTarget,
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            kept = bytearray()
-            target.received.append(kept)
-            await fakes.read_request(target, reader, kept)
+            buffer = bytearray()
+            target.received.append(buffer)
+            await fakes.read_request(target, reader, buffer)
             writer.write(OK)
-            await fakes.read_request(target, reader, kept)
+            await fakes.read_request(target, reader, buffer)
 
         target = await self.start_target(serve)
         self.assertEqual(200, (await self.call('/first')).status)
@@ -353,7 +357,7 @@
         self.assertEqual(1, target.received_bytes.count(b'/second'))
 
     async def test_stalled_upload_is_unknown(self) -> None:
-        """A part of the body was sent, so the target may have run it."""
+        """A part of the body was sent, so the request may have run."""
         target = await self.start_target(stay_silent)
         reader, writer = await self.connect(self.options.listen)
         writer.write(
@@ -378,21 +382,21 @@
             lambda: self.entry.state.slots.total_in_flight() == 0
         )
 
-    async def test_timed_out_connection_serves_nobody_else(self) -> None:
-        late = asyncio.Event()
+    async def test_timed_out_connection_is_not_reused(self) -> None:
+        release = asyncio.Event()
 
         async def serve(
             target: fakes.FakeTarget,
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            kept = bytearray()
-            target.received.append(kept)
+            buffer = bytearray()
+            target.received.append(buffer)
             while True:
-                request = await fakes.read_request(target, reader, kept)
+                request = await fakes.read_request(target, reader, buffer)
                 path = request.split()[1]
                 if path == b'/slow':
-                    await late.wait()
+                    await release.wait()
                 writer.write(OK.replace(b'ok', path[1:3]))
 
         await self.start_target(serve, slots=1)
@@ -400,7 +404,7 @@
             '/slow', headers='Fulmarseam-Deadline-Ms: 100\r\n'
         )
         self.assertEqual('target_timeout', answer.kind)
-        late.set()
+        release.set()
         for path in ('/ab', '/cd', '/ef'):
             answer = await self.call(path)
             self.assertEqual(path[1:].encode(), answer.body)
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -21,18 +21,18 @@
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Answer requests, but close on a path that contains "crash"."""
-    kept = bytearray()
-    target.received.append(kept)
+    """Respond to requests, but close on a path that contains "crash"."""
+    buffer = bytearray()
+    target.received.append(buffer)
     while True:
-        request = await fakes.read_request(target, reader, kept)
+        request = await fakes.read_request(target, reader, buffer)
         if b'crash' in request:
             return
         writer.write(OK)
 
 
 class RetryTest(entry_case.EntryCase):
-    """Guards against repeats that could run a request twice (P5)."""
+    """Guards against retries that could run a request twice (P5)."""
 
     rows: ClassVar[list[wire.Row]] = [
         wire.Pool(name=fakes.POOL, retry_ratio=0.1),
@@ -47,13 +47,15 @@
 
     def count_requests(self, *targets: fakes.FakeTarget) -> int:
         """Return how many requests the targets received."""
-        return sum(item.received_bytes.count(b'HTTP/1.1') for item in targets)
+        return sum(
+            target.received_bytes.count(b'HTTP/1.1') for target in targets
+        )
 
     async def test_idempotent_request_is_sent_to_another_target(self) -> None:
         first = await self.start_target(crash, 't1')
         second = await self.start_target(crash, 't2')
         answer = await self.call('/crash', 'POST', b'abc')
-        # Both targets fail, so the request counts as a crash request.
+        # Both targets fail, so the request is quarantined.
         self.assertEqual(422, answer.status)
         self.assertEqual(2, self.count_requests(first, second))
         self.assertEqual(
@@ -107,7 +109,7 @@
 
 
 class QueueTest(entry_case.EntryCase):
-    """Guards against more work on a target than the entry was granted."""
+    """Guards against more requests on a target than granted slots."""
 
     rows: ClassVar[list[wire.Row]] = [
         wire.Pool(name=fakes.POOL, queue_limit=2),
@@ -115,11 +117,11 @@
         entry_case.make_route(name='first', path_prefix='/first', priority=0),
     ]
 
-    async def start_gate(self, slots: int) -> asyncio.Event:
-        """Start a target that holds its answers back."""
-        gate = asyncio.Event()
+    async def start_waiting_target(self, slots: int) -> asyncio.Event:
+        """Start a target that responds once the returned event is set."""
+        release = asyncio.Event()
         self.running = 0
-        self.most = 0
+        self.max_running = 0
         self.order: list[bytes] = []
 
         async def serve(
@@ -127,21 +129,21 @@
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            kept = bytearray()
+            buffer = bytearray()
             while True:
-                request = await fakes.read_request(target, reader, kept)
+                request = await fakes.read_request(target, reader, buffer)
                 self.order.append(request.split()[1])
                 self.running += 1
-                self.most = max(self.most, self.running)
-                await gate.wait()
+                self.max_running = max(self.max_running, self.running)
+                await release.wait()
                 self.running -= 1
                 writer.write(OK)
 
         await self.start_target(serve, slots=slots)
-        return gate
+        return release
 
     async def test_waiting_requests_are_bounded_and_ordered(self) -> None:
-        gate = await self.start_gate(1)
+        release = await self.start_waiting_target(1)
         first = asyncio.create_task(self.call('/a'))
         await self.wait_until(lambda: self.running == 1)
         later = asyncio.create_task(self.call('/b'))
@@ -150,14 +152,14 @@
         await asyncio.sleep(0.05)
         refused = await self.call('/c')
         self.assertEqual((503, 'queue_full', 'not-run'), refused.describe())
-        gate.set()
+        release.set()
         answers = await asyncio.gather(first, later, urgent)
         self.assertEqual([200] * 3, [answer.status for answer in answers])
         self.assertEqual([b'/a', b'/first', b'/b'], self.order)
-        self.assertEqual(1, self.most)
+        self.assertEqual(1, self.max_running)
 
     async def test_deadline_in_the_queue_is_not_run(self) -> None:
-        gate = await self.start_gate(1)
+        release = await self.start_waiting_target(1)
         first = asyncio.create_task(self.call('/a'))
         await self.wait_until(lambda: self.running == 1)
         answer = await self.call(
@@ -166,12 +168,12 @@
         self.assertEqual(
             (504, 'deadline_unreachable', 'not-run'), answer.describe()
         )
-        gate.set()
+        release.set()
         await first
         self.assertEqual([b'/a'], self.order)
 
     async def test_caller_that_leaves_the_queue_takes_no_slot(self) -> None:
-        gate = await self.start_gate(1)
+        release = await self.start_waiting_target(1)
         first = asyncio.create_task(self.call('/a'))
         await self.wait_until(lambda: self.running == 1)
         _, writer = await self.connect(self.options.listen)
@@ -179,14 +181,14 @@
         await self.wait_until(lambda: self.entry.caller_server.busy == 2)
         writer.close()
         await self.wait_until(lambda: self.entry.caller_server.busy == 1)
-        gate.set()
+        release.set()
         await first
         answer = await self.call('/b')
         self.assertEqual(200, answer.status)
         self.assertEqual([b'/a', b'/b'], self.order)
 
     async def test_queued_demand_is_reported_at_once(self) -> None:
-        gate = await self.start_gate(1)
+        release = await self.start_waiting_target(1)
         first = asyncio.create_task(self.call('/a'))
         await self.wait_until(lambda: self.running == 1)
         second = asyncio.create_task(self.call('/b'))
@@ -200,12 +202,12 @@
         self.leader.slots['t1'] = 2
         self.entry.synchronizer.request_now()
         await self.wait_until(lambda: self.running == 2)
-        gate.set()
+        release.set()
         await asyncio.gather(first, second)
 
 
 class QuarantineTest(entry_case.EntryCase):
-    """Guards against a request that takes down target after target (F11)."""
+    """Guards against a request that crashes target after target (F11)."""
 
     async def test_crash_request_reaches_two_targets_at_most(self) -> None:
         targets = [
@@ -216,16 +218,16 @@
         for _ in range(3):
             answer = await self.call('/crash')
             self.assertEqual('quarantined', answer.kind)
-        hit = [
+        crashed_targets = [
             target for target in targets if b'crash' in target.received_bytes
         ]
-        self.assertEqual(2, len(hit))
+        self.assertEqual(2, len(crashed_targets))
         other = await self.call('/other')
         self.assertEqual(200, other.status)
 
     async def test_lost_target_does_not_hold_up_the_others(self) -> None:
-        """All requests are alike and become suspects with the target."""
-        gate = asyncio.Event()
+        """All requests have one fingerprint, so one failure marks them all."""
+        release = asyncio.Event()
 
         async def fail(
             target: fakes.FakeTarget,
@@ -233,19 +235,19 @@
             writer: asyncio.StreamWriter,
         ) -> None:
             await fakes.read_request(target, reader, bytearray())
-            await gate.wait()
+            await release.wait()
 
         await self.start_target(fail, 't1', slots=2)
         waiting = [asyncio.create_task(self.call('/same')) for _ in range(2)]
         await self.wait_until(
             lambda: self.entry.state.slots.total_in_flight() == 2
         )
-        # More requests wait in the queue when the target is lost.
+        # More requests wait in the queue when the target fails.
         waiting += [asyncio.create_task(self.call('/same')) for _ in range(9)]
         await self.wait_until(lambda: self.entry.caller_server.busy == 11)
         self.leader.slots['t1'] = 0
         await self.start_target(crash, 't2', slots=2)
-        gate.set()
+        release.set()
         async with asyncio.timeout(2.0):
             answers = await asyncio.gather(*waiting)
         served = [answer for answer in answers if answer.status == 200]
@@ -253,7 +255,7 @@
         self.assertEqual([], self.entry.suspects.list_rows())
 
     async def test_waiting_suspect_does_not_hold_up_others(self) -> None:
-        gate = asyncio.Event()
+        release = asyncio.Event()
 
         async def serve(
             target: fakes.FakeTarget,
@@ -263,14 +265,14 @@
             while True:
                 request = await fakes.read_request(target, reader, bytearray())
                 if b'/held' in request:
-                    await gate.wait()
+                    await release.wait()
                 writer.write(OK)
 
         await self.start_target(serve, 't1', slots=3)
         await self.start_target(serve, 't2', slots=3)
-        held_print = entry_case.compute_fingerprint('GET', 'a', '/held')
+        held_fingerprint = entry_case.compute_fingerprint('GET', 'a', '/held')
         self.entry.suspects.apply_notice(
-            wire.StrikeNotice(fingerprint=held_print, target='t9')
+            wire.StrikeNotice(fingerprint=held_fingerprint, target='t9')
         )
         held = [asyncio.create_task(self.call('/held')) for _ in range(2)]
         await self.wait_until(lambda: self.entry.caller_server.busy == 2)
@@ -278,11 +280,11 @@
         self.assertEqual(1, self.entry.state.slots.total_in_flight())
         answer = await self.call('/other')
         self.assertEqual(200, answer.status)
-        gate.set()
+        release.set()
         answers = await asyncio.gather(*held)
         self.assertEqual([200, 200], [answer.status for answer in answers])
 
-    async def test_crash_request_is_known_under_another_address(
+    async def test_crash_request_is_recognized_under_another_address(
         self,
     ) -> None:
         for number in range(3):
@@ -300,35 +302,37 @@
         targets = [
             await self.start_target(crash, f't{number}') for number in range(3)
         ]
-        # The fingerprint of the request as a peer computes it.
+        # The fingerprint of the request, as a peer computes it.
         await self.call('/other')
-        job_print = entry_case.compute_fingerprint('GET', 'a', '/crash')
+        crash_fingerprint = entry_case.compute_fingerprint(
+            'GET', 'a', '/crash'
+        )
         self.entry.suspects.apply_notice(
-            wire.StrikeNotice(fingerprint=job_print, target='t9')
+            wire.StrikeNotice(fingerprint=crash_fingerprint, target='t9')
         )
         answer = await self.call('/crash')
         self.assertEqual('quarantined', answer.kind)
-        hit = [
+        crashed_targets = [
             target for target in targets if b'crash' in target.received_bytes
         ]
-        self.assertEqual(1, len(hit))
+        self.assertEqual(1, len(crashed_targets))
 
 
 class FakeRecordService:
-    """A record holder with scripted verdicts."""
+    """A record service with scripted verdicts that records its calls."""
 
     def __init__(self) -> None:
         self.verdict: wire.RecordVerdict | errors.FulmarseamError = (
             wire.RecordVerdict(verdict=wire.Verdict.FRESH)
         )
         self.calls: list[tuple[str, object]] = []
-        self.prints: list[str] = []
+        self.fingerprints: list[str] = []
 
     async def claim(
         self, key: str, fingerprint: str, attempt: str, timeout_s: float
     ) -> wire.RecordVerdict:
         self.calls.append(('claim', key))
-        self.prints.append(fingerprint)
+        self.fingerprints.append(fingerprint)
         if isinstance(self.verdict, errors.FulmarseamError):
             raise self.verdict
         return self.verdict
@@ -343,7 +347,10 @@
 
 
 class ClaimTest(entry_case.EntryCase):
-    """Guards against a request that runs twice or is lost in a claim."""
+    """Guards against at-most-once requests that run twice.
+
+    Also guards against claims that are not released when nothing ran.
+    """
 
     rows: ClassVar[list[wire.Row]] = [
         wire.Pool(name=fakes.POOL),
@@ -424,7 +431,7 @@
         )
 
     async def test_repeat_through_another_address_is_the_same(self) -> None:
-        """A caller that uses addresses names another host each time."""
+        """A caller that uses addresses sends another Host each time."""
         await self.start_target(fakes.answer_always(OK))
         cases = [
             (b'10.0.0.1:8000', b'abc'),
@@ -442,12 +449,12 @@
                 + b'Content-Length: 3\r\n\r\n'
                 + body
             )
-        prints = self.record_service.prints
-        self.assertEqual(5, len(prints))
-        self.assertEqual(1, len(set(prints[:3])))
-        self.assertEqual(3, len(set(prints)))
+        fingerprints = self.record_service.fingerprints
+        self.assertEqual(5, len(fingerprints))
+        self.assertEqual(1, len(set(fingerprints[:3])))
+        self.assertEqual(3, len(set(fingerprints)))
 
-    async def test_silent_holder_gets_a_release(self) -> None:
+    async def test_claim_without_a_response_is_released(self) -> None:
         target = await self.start_target(fakes.answer_always(OK))
         self.record_service.verdict = errors.FulmarseamError(
             errors.ErrorKind.RECORD_UNAVAILABLE
@@ -463,11 +470,11 @@
         await self.start_target(fakes.answer_always(OK), slots=1)
         claim = self.record_service.claim
 
-        async def wait(*arguments: Any) -> wire.RecordVerdict:
+        async def claim_late(*arguments: Any) -> wire.RecordVerdict:
             await asyncio.sleep(0.5)
             return await claim(*arguments)
 
-        with mock.patch.object(self.record_service, 'claim', wait):
+        with mock.patch.object(self.record_service, 'claim', claim_late):
             waiting = asyncio.create_task(self.post())
             await self.wait_until(lambda: self.entry.caller_server.busy == 1)
             await asyncio.sleep(0.1)
@@ -475,11 +482,11 @@
             self.assertEqual(200, (await waiting).status)
 
     async def test_stop_does_not_wait_for_a_silent_holder(self) -> None:
-        async def never(key: str, attempt: str, answer: object) -> None:
+        async def finish_late(key: str, attempt: str, answer: object) -> None:
             await asyncio.sleep(60)
 
         await self.start_target(fakes.answer_always(OK))
-        with mock.patch.object(self.record_service, 'finish', never):
+        with mock.patch.object(self.record_service, 'finish', finish_late):
             await self.call('/', 'POST', b'abc', KEY)
             async with asyncio.timeout(1.0):
                 self.assertEqual(1, await self.entry.claims.flush(0.05))
@@ -522,9 +529,9 @@
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            kept = bytearray()
-            target.received.append(kept)
-            await fakes.read_request(target, reader, kept)
+            buffer = bytearray()
+            target.received.append(buffer)
+            await fakes.read_request(target, reader, buffer)
             await reader.read()
 
         target = await self.start_target(hold)
