--- a/fulmarseam/catalog/__init__.py
+++ b/fulmarseam/catalog/__init__.py
@@ -15,25 +15,25 @@
 from fulmarseam.catalog._commands import LeaveTarget
 from fulmarseam.catalog._commands import PutItems
 from fulmarseam.catalog._commands import ReadRevision
-from fulmarseam.catalog._heartbeats import HeartbeatBook
-from fulmarseam.catalog._heartbeats import Silences
+from fulmarseam.catalog._entry_registry import EntryRegistry
+from fulmarseam.catalog._heartbeats import HeartbeatTracker
+from fulmarseam.catalog._heartbeats import TargetLeases
 from fulmarseam.catalog._machine import Catalog
-from fulmarseam.catalog._mirror import Mirror
-from fulmarseam.catalog._presence import Presence
+from fulmarseam.catalog._mirror import CatalogMirror
 
 __all__ = [
     'AnnounceTargets',
-    'HeartbeatBook',
+    'HeartbeatTracker',
     'Catalog',
     'Command',
     'DropTargets',
     'EvacuateDomain',
     'LeaveTarget',
-    'Mirror',
-    'Presence',
+    'CatalogMirror',
+    'EntryRegistry',
     'PutItems',
     'ReadRevision',
-    'Silences',
+    'TargetLeases',
     'decode_result',
     'encode_command',
 ]
--- a/fulmarseam/client/_caller.py
+++ b/fulmarseam/client/_caller.py
@@ -160,7 +160,7 @@
             return False
         if errors.ANSWERS[kind].retry is not errors.Retry.OTHER_ENTRY:
             return False
-        return kind not in _OVERLOAD_KINDS or self._retry_budget.take()
+        return kind not in _OVERLOAD_KINDS or self._retry_budget.try_acquire()
 
     async def _attempt(
         self, address: str, request: _exchange.Request, remaining_s: float
--- a/fulmarseam/control/_admin.py
+++ b/fulmarseam/control/_admin.py
@@ -80,7 +80,9 @@
         plain = [name for name in names if name in store.PLAIN_TABLES]
         return wire.TablesResponse(
             revision=tables.revision,
-            versions={name: self._machine.version(name) for name in names},
+            versions={
+                name: self._machine.table_version(name) for name in names
+            },
             changes=tables.dump(plain),
             blocks=tables.dump_blocks() if plain != names else b'',
         )
@@ -149,7 +151,7 @@
             target = use.target
             granted[target] = granted.get(target, 0) + use.allowance
             in_flight[target] = in_flight.get(target, 0) + use.in_flight
-    rows = leadership.targets.news_since(now, 0).rows
+    rows = leadership.targets.changes_since(now, 0).rows
     return [
         wire.TargetProgress(
             row=row,
--- a/fulmarseam/control/_leadership.py
+++ b/fulmarseam/control/_leadership.py
@@ -66,9 +66,9 @@
             term,
             steering.AllocatorOptions(
                 grant_ttl_s=options.grant_ttl_ms / MILLISECONDS,
-                drift=options.clock_drift,
+                clock_drift=options.clock_drift,
             ),
-            former=list_registered(tables),
+            former_holders=list_registered(tables),
         )
         self.reports: dict[ids.EntryId, EntryReport] = {}
         self.places: dict[ids.TargetId, Place] = {}
@@ -85,7 +85,7 @@
         if not self.entries.record(now, request):
             return False
         ages = request.announcement_ages_ms
-        travel_s = self.allocator.find_request_age(now, request)
+        travel_s = self.allocator.compute_max_request_age(now, request)
         for index, report in enumerate(request.announcements):
             age_ms = ages[index] if index < len(ages) else 0
             if self.targets.record(now - travel_s, report, age_ms):
@@ -138,7 +138,7 @@
         """Return the grants of an entry; none before it is registered."""
         if not self.is_registered(info):
             return steering.Grants(0, [], [])
-        return self.allocator.grants_for(now, info.entry, info.incarnation)
+        return self.allocator.issue_grants(now, info.entry, info.incarnation)
 
     def is_registered(self, info: wire.EntryInfo) -> bool:
         """Return whether the log names an incarnation of an entry."""
@@ -147,7 +147,7 @@
 
     def has_grant_news(self, now: float, info: wire.EntryInfo) -> bool:
         """Return whether an entry should get its grants at once."""
-        return self.is_registered(info) and self.allocator.has_news(
+        return self.is_registered(info) and self.allocator.has_grant_changes(
             now, info.entry, info.incarnation
         )
 
--- a/fulmarseam/entry/_announcements.py
+++ b/fulmarseam/entry/_announcements.py
@@ -33,7 +33,7 @@
     def add(self, now: float, report: wire.TargetReport) -> asyncio.Event:
         """Add a report; the event is set once the leader acknowledges it."""
         existing = self._pending.get(report.target)
-        if existing is not None and sequence_key(report) < sequence_key(
+        if existing is not None and sort_key(report) < sort_key(
             existing.report
         ):
             # Acknowledging the newer report also covers this older one.
@@ -56,9 +56,9 @@
         """Mark the reports of an answered sync request as acknowledged."""
         for report in reports:
             announcement = self._pending.get(report.target)
-            if announcement is None or sequence_key(
+            if announcement is None or sort_key(
                 announcement.report
-            ) > sequence_key(report):
+            ) > sort_key(report):
                 continue
             del self._pending[report.target]
             announcement.acknowledged.set()
@@ -86,6 +86,6 @@
         ) from None
 
 
-def sequence_key(report: wire.TargetReport) -> tuple[int, int]:
+def sort_key(report: wire.TargetReport) -> tuple[int, int]:
     """Return the sort key of a target's reports, oldest first."""
     return report.incarnation, report.sequence
--- a/fulmarseam/entry/_attempts.py
+++ b/fulmarseam/entry/_attempts.py
@@ -220,7 +220,7 @@
         self.response_bytes += len(piece)
         self._charge(1, len(piece))
         if self.store_answer and (
-            self.response_bytes <= records.KEPT_BODY_BYTES
+            self.response_bytes <= records.MAX_STORED_BODY_BYTES
         ):
             self._stored_body.append(piece)
 
@@ -248,7 +248,7 @@
             self._uploading = False
 
     def _set_stored_answer(self, response: http.Response) -> None:
-        fits_limit = self.response_bytes <= records.KEPT_BODY_BYTES
+        fits_limit = self.response_bytes <= records.MAX_STORED_BODY_BYTES
         self.stored_answer = wire.StoredAnswer(
             response.status,
             http.drop_headers(
--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -57,7 +57,7 @@
         self.target_pools = http.TargetPools()
         self.pools = _pools.Pools(
             self.state,
-            steering.Place(options.region, options.failure_domain),
+            steering.Locality(options.region, options.failure_domain),
             random.Random(),
             self._request_sync,
         )
@@ -80,7 +80,7 @@
             lambda: float(self.synchronizer.count_bytes()),
         )
         self.peers = _peers.Peers(options, self.state)
-        self.record_holder = records.RecordHolder(
+        self.record_server = records.RecordServer(
             options.entry_id,
             self.reporter.incarnation,
             self.state.find_record_group,
@@ -93,7 +93,7 @@
                 options.entry_id,
                 self.state.find_record_group,
                 self.peers.get_client,
-                self.record_holder.handle,
+                self.record_server.handle,
             ),
             f'{options.entry_id}.{self.reporter.incarnation}',
         )
@@ -108,7 +108,7 @@
                 self.state,
                 self.suspects,
                 self._apply_change,
-                self.record_holder.handle,
+                self.record_server.handle,
             ).handle,
         )
 
@@ -152,15 +152,17 @@
         self.synchronizer.request_now()
 
     def _list_record_copies(self) -> list[wire.RecordCopy]:
-        return self.record_holder.list_copies()
+        return self.record_server.list_copies()
 
     def _raise_incarnation(self) -> None:
         self.reporter.raise_incarnation()
-        self.record_holder.set_incarnation(self.reporter.incarnation)
+        self.record_server.set_incarnation(self.reporter.incarnation)
 
     def _apply_change(self) -> None:
         self.lookups.clear_cache()
-        self.record_holder.update(self.state.tables.rows(wire.RecordGroup))
+        self.record_server.update_groups(
+            self.state.tables.rows(wire.RecordGroup)
+        )
         self.pools.update(self._loop.time())
 
     def _accept_announcement(self, report: wire.TargetReport) -> asyncio.Event:
@@ -222,7 +224,7 @@
         async with self._exit_stack as stack:
             await stack.enter_async_context(self.target_pools)
             await stack.enter_async_context(self.peers)
-            await stack.enter_async_context(self.record_holder)
+            await stack.enter_async_context(self.record_server)
             await stack.enter_async_context(self.rpc_server)
             await stack.enter_async_context(self.synchronizer)
             await stack.enter_async_context(self.api_server)
@@ -249,13 +251,13 @@
         waiting_for_stop = asyncio.ensure_future(self.stop_requested.wait())
         try:
             await asyncio.wait(
-                (waiting_for_stop, self.record_holder.failed),
+                (waiting_for_stop, self.record_server.failed),
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
             waiting_for_stop.cancel()
-        if self.record_holder.failed.done():
-            raise self.record_holder.failed.result()
+        if self.record_server.failed.done():
+            raise self.record_server.failed.result()
 
     async def _drain(self) -> None:
         """Leave lookups, wait until cached answers expire, end requests."""
--- a/fulmarseam/entry/_pacing.py
+++ b/fulmarseam/entry/_pacing.py
@@ -49,7 +49,7 @@
         if not self._unpaid_bytes:
             return True
         now = self._loop.time()
-        self._unpaid_bytes -= self._links.take(
+        self._unpaid_bytes -= self._links.consume(
             now, self._link_name, self._unpaid_bytes
         )
         if not self._unpaid_bytes:
--- a/fulmarseam/entry/_pools.py
+++ b/fulmarseam/entry/_pools.py
@@ -47,9 +47,9 @@
 class PoolState:
     """The queue and the recent statistics of one pool."""
 
-    def __init__(self, pool: wire.Pool, place: steering.Place) -> None:
+    def __init__(self, pool: wire.Pool, locality: steering.Locality) -> None:
         self.pool = pool
-        self.view = steering.PoolView(pool, place)
+        self.view = steering.PoolView(pool, locality)
         self.queue: steering.RequestQueue[QueuedRequest] = (
             steering.RequestQueue(pool.queue_limit)
         )
@@ -72,10 +72,10 @@
         """Return the number of requests that run or wait for a slot."""
         return self.in_flight + len(self.queue) + self.waiting_outside_queue
 
-    def update(self, pool: wire.Pool, place: steering.Place) -> None:
+    def update(self, pool: wire.Pool, locality: steering.Locality) -> None:
         """Apply a changed row of the pool."""
         self.pool = pool
-        self.view = steering.PoolView(pool, place)
+        self.view = steering.PoolView(pool, locality)
         self.queue.limit = pool.queue_limit
         self.retry_budget.ratio = pool.retry_ratio
 
@@ -110,12 +110,12 @@
     def __init__(
         self,
         state: _state.SharedState,
-        place: steering.Place,
+        locality: steering.Locality,
         rng: random.Random,
         request_sync: Callable[[], None],
     ) -> None:
         self._state = state
-        self._place = place
+        self._locality = locality
         self._rng = rng
         self._request_sync = request_sync
         self._pools: dict[ids.PoolName, PoolState] = {}
@@ -147,10 +147,10 @@
         for name, row in rows.items():
             pool = self._pools.get(name)
             if pool is None:
-                pool = self._pools[name] = PoolState(row, self._place)
+                pool = self._pools[name] = PoolState(row, self._locality)
                 changed = True
             elif pool.pool != row:
-                pool.update(row, self._place)
+                pool.update(row, self._locality)
                 changed = True
         if changed:
             self.refresh_views(now)
@@ -163,7 +163,7 @@
         for pool in self._pools.values():
             pool.view.refresh(now, ready, self.outcomes)
             pool.remote_regions = _find_remote_regions(
-                pool.pool, ready, self._place.region
+                pool.pool, ready, self._locality.region
             )
 
     def serve_queues(self, now: float) -> None:
@@ -173,7 +173,7 @@
                 self._serve_queue(now, pool)
 
     def _serve_queue(self, now: float, pool: PoolState) -> None:
-        for ticket in pool.queue.refuse_late(now, pool.service_time_s):
+        for ticket in pool.queue.remove_late(now, pool.service_time_s):
             ticket.item.refusal = errors.ErrorKind.NO_CAPACITY
             ticket.item.notify()
         while (first := pool.queue.peek()) is not None:
@@ -252,21 +252,25 @@
         """Take a slot that is free now; return None if there is none."""
         shifts = self._state.shifts
         name = pool.pool.name
-        blocked = shifts.blocked(name)
+        blocked_regions = shifts.list_blocked_regions(name)
         if pool.remote_regions:
-            blocked = blocked | self._find_regions_without_tokens(now, pool)
+            blocked_regions = (
+                blocked_regions | self._find_regions_without_tokens(now, pool)
+            )
         choice = steering.choose_target(
             pool.view,
             now,
             self._state.slots,
             self._rng,
-            preferred=shifts.preferred(name),
-            blocked=blocked,
-            avoided=avoided,
+            preferred_region=shifts.get_preferred_region(name),
+            blocked_regions=blocked_regions,
+            avoided_targets=avoided,
         )
-        if choice is None or not self._state.slots.take(now, choice.target):
+        if choice is None or not self._state.slots.try_acquire(
+            now, choice.target
+        ):
             return None
-        if not shifts.take(name, choice.region):
+        if not shifts.try_acquire(name, choice.region):
             self._state.slots.release(choice.target)
             return None
         pool.in_flight += 1
@@ -278,7 +282,7 @@
     def _find_regions_without_tokens(
         self, now: float, pool: PoolState
     ) -> frozenset[ids.RegionName]:
-        own_region = self._place.region
+        own_region = self._locality.region
         has_tokens = self._state.links.has_tokens
         return frozenset(
             region
--- a/fulmarseam/entry/_proxying.py
+++ b/fulmarseam/entry/_proxying.py
@@ -117,7 +117,7 @@
         )
         pool.arrivals += 1
         pool.retry_budget.count_request()
-        self._state.shifts.arrive(context.route.pool)
+        self._state.shifts.count_arrival(context.route.pool)
         return context
 
     def _match_route(self, context: _requests.RequestContext) -> wire.Route:
@@ -227,7 +227,7 @@
                 raise may_have_run or failed.error
             if (
                 not self._has_untried_target(pool, avoided)
-                or not pool.retry_budget.take()
+                or not pool.retry_budget.try_acquire()
             ):
                 raise may_have_run or failed.error
             self._dependencies.metrics.add(
--- a/fulmarseam/steering/_allocator.py
+++ b/fulmarseam/steering/_allocator.py
@@ -19,12 +19,12 @@
 class AllocatorOptions:
     """Times in seconds and shares of an allocator.
 
-    `drift` bounds the difference between the rates of two monotonic
+    `clock_drift` bounds the difference between the rates of two monotonic
     clocks. `link_share` is the part of a link that is shared out.
     """
 
     grant_ttl_s: float = 2.8
-    drift: float = 0.01
+    clock_drift: float = 0.01
     link_share: float = 0.8
 
 
@@ -45,21 +45,21 @@
 
     A new allocator is made at the start of each term as leader, when the
     leader lease of every former leader has ended. The caller must hold a
-    valid leader lease when it calls `grants_for`, and reports each request
+    valid leader lease when it calls `issue_grants`, and reports each request
     before it answers it::
 
         allocator = steering.Allocator(now, term)
         allocator.report(now, request)
         allocator.allocate(now, targets, pools, links, drains, shifts)
-        grants = allocator.grants_for(now, entry, incarnation)
+        grants = allocator.issue_grants(now, entry, incarnation)
 
-    `former` names the incarnations of entries that may hold grants of a
-    former leader. Until all of them have acknowledged grants of this term
-    or the grants of the former leader have expired, entries only get
+    `former_holders` names the incarnations of entries that may hold grants
+    of a former leader. Until all of them have acknowledged grants of this
+    term or the grants of the former leader have expired, entries only get
     renewed what they report to hold. After that, what no entry has
     confirmed to hold is kept back until the requests of entries that were
-    never heard must have ended. Without `former` any number of unknown
-    entries is assumed.
+    never heard must have ended. Without `former_holders` any number of
+    unknown entries is assumed.
     """
 
     def __init__(
@@ -67,18 +67,20 @@
         now: float,
         term: int,
         options: AllocatorOptions | None = None,
-        former: Collection[_ledger.HolderKey] | None = None,
+        former_holders: Collection[_ledger.HolderKey] | None = None,
     ) -> None:
         self.term = term
         self._options = options or AllocatorOptions()
         self._sequence = 0
         self._ledger = _ledger.Ledger(
-            term, self._options.grant_ttl_s, self._options.drift
+            term, self._options.grant_ttl_s, self._options.clock_drift
         )
         self._limits = _limits.Limits(
-            self._ledger, now + self._ledger.lifetime_s, former
+            self._ledger, now + self._ledger.lifetime_s, former_holders
+        )
+        self._send_times = _send_times.SendTimes(
+            term, self._options.clock_drift
         )
-        self._send_times = _send_times.SendTimes(term, self._options.drift)
         self._targets: dict[ids.TargetId, membership.Target] = {}
         self._closed: set[ids.TargetId] = set()
         self._links: dict[str, int] = {}
@@ -143,7 +145,7 @@
         _demand.plan_links(live, self._links)
         self._contested = self._find_contested(live)
 
-    def grants_for(
+    def issue_grants(
         self, now: float, entry: ids.EntryId, incarnation: int
     ) -> Grants:
         """Issue the grants for an answer that is sent now.
@@ -176,7 +178,7 @@
         ]
         return Grants(self._sequence, slots, rates)
 
-    def has_news(
+    def has_grant_changes(
         self, now: float, entry: ids.EntryId, incarnation: int
     ) -> bool:
         """Return whether a held sync request should be answered at once.
@@ -204,7 +206,9 @@
             if planned > _slots_in(issued, target)
         )
 
-    def find_request_age(self, now: float, request: wire.SyncRequest) -> float:
+    def compute_max_request_age(
+        self, now: float, request: wire.SyncRequest
+    ) -> float:
         """Return the most seconds that a request can have been under way.
 
         Leases of the targets that it announces start that much earlier: a
@@ -212,7 +216,7 @@
         """
         return self._send_times.find_age(now, request)
 
-    def may_hold(
+    def may_hold_grants(
         self, now: float, entry: ids.EntryId, incarnation: int
     ) -> bool:
         """Return whether an incarnation may hold grants or run requests."""
--- a/fulmarseam/steering/_observed.py
+++ b/fulmarseam/steering/_observed.py
@@ -22,7 +22,7 @@
 # Above this failure rate a target is used only when no better one is free,
 # unless the others of its pool fail nearly as much: then another one is no
 # better, and only this one may remember the object of a request.
-DOUBTFUL_RATE = 0.25
+DOUBTFUL_FAILURE_RATE = 0.25
 DOUBTFUL_FACTOR = 1.5
 # A target with requests is silent after this many of its mean service times
 # without any answer, and not before the shortest time.
@@ -55,8 +55,8 @@
     `now < ejected_until` the target gets no requests, and while
     `now < cold_until` only as many as `tokens` allow. `silent_since` is
     when the oldest of the present requests started, or the last answer.
-    `phase` between 0 and 1 differs between entries, so that many entries
-    with a small share each do not use it in the same second.
+    `token_offset` between 0 and 1 differs between entries, so that many
+    entries with a small share each do not use it in the same second.
     """
 
     record: wire.TargetRecord
@@ -73,7 +73,7 @@
     service_s: float = FIRST_SERVICE_S
     answers: int = 0
     silent_since: float = 0.0
-    phase: float = 0.0
+    token_offset: float = 0.0
     recovering: bool = False
 
     @property
@@ -113,7 +113,9 @@
     return now - target.silent_since > limit_s
 
 
-def find_patience(target: ObservedTarget, time_left_s: float) -> float:
+def compute_attempt_timeout(
+    target: ObservedTarget, time_left_s: float
+) -> float:
     """Return how long to wait for an answer that another target may give.
 
     The time left is waited for in full where it would not be enough for
@@ -144,7 +146,7 @@
     restarted, so it is treated as cold for `cold_s`.
     """
     if target.recovering:
-        start_cold(target, now, cold_s)
+        mark_cold(target, now, cold_s)
         target.recovering = False
     target.answers += 1
     target.silent_since = now
@@ -182,11 +184,11 @@
 
     `pool_rate` is the mean failure rate of its pool.
     """
-    bound = max(DOUBTFUL_RATE, DOUBTFUL_FACTOR * pool_rate)
+    bound = max(DOUBTFUL_FAILURE_RATE, DOUBTFUL_FACTOR * pool_rate)
     return target.failure_rate >= bound
 
 
-def find_failure_rate(targets: Collection[ObservedTarget]) -> float:
+def compute_mean_failure_rate(targets: Collection[ObservedTarget]) -> float:
     """Return the mean failure rate of the targets of a pool."""
     if not targets:
         return 0.0
@@ -194,13 +196,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ColdBound:
+class ColdRateLimit:
     """What all entries together may send to a cold target in a second."""
 
     factor: float
     slack: float
 
-    def share(self, cold_per_s: float, senders: int) -> float:
+    def compute_sender_rate(self, cold_per_s: float, senders: int) -> float:
         """Return the part of one of `senders` entries, in requests/s."""
         return (cold_per_s * self.factor + self.slack) / max(1, senders)
 
@@ -221,7 +223,7 @@
     target.tokens_at = now
 
 
-def start_cold(target: ObservedTarget, now: float, cold_s: float) -> None:
+def mark_cold(target: ObservedTarget, now: float, cold_s: float) -> None:
     """Treat a target as cold for some time from now on."""
     if not is_cold(target, now):
         _reset_tokens(target, now)
@@ -229,7 +231,7 @@
 
 
 def _reset_tokens(target: ObservedTarget, now: float) -> None:
-    target.tokens = -target.phase
+    target.tokens = -target.token_offset
     target.tokens_at = now
 
 
@@ -241,7 +243,7 @@
     return target.recovering or now < target.cold_until
 
 
-def may_take(target: ObservedTarget, now: float, share: float) -> bool:
+def may_send(target: ObservedTarget, now: float, share: float) -> bool:
     """Return whether a cold target may get one more request."""
     if not is_cold(target, now):
         return True
--- a/fulmarseam/steering/_shifts.py
+++ b/fulmarseam/steering/_shifts.py
@@ -20,15 +20,15 @@
     def __init__(self) -> None:
         self.credit = 0.0
 
-    def arrive(self, percent: float) -> None:
+    def count_arrival(self, percent: float) -> None:
         """Count an arrival while `percent` of them may move."""
         self.credit = min(MAX_CREDIT, self.credit + percent / 100.0)
 
-    def can_take(self) -> bool:
+    def has_credit(self) -> bool:
         """Return whether a request may be placed in the other region."""
         return self.credit >= 1.0
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take the credit for one placement; False when there is none."""
         if self.credit < 1.0:
             return False
@@ -40,17 +40,17 @@
         self.credit = min(MAX_CREDIT, self.credit + 1.0)
 
 
-class ShiftBook:
+class ShiftLimiter:
     """Credits of an entry for the shifts that start in its region.
 
     Example::
 
         book.update(shifts)
-        book.arrive(pool)
+        book.count_arrival(pool)
         choice = choose_target(
-            view, ..., preferred=book.preferred(pool),
-            blocked=book.blocked(pool))
-        book.take(pool, choice.region)
+            view, ..., preferred=book.get_preferred_region(pool),
+            blocked=book.list_blocked_regions(pool))
+        book.try_acquire(pool, choice.region)
     """
 
     def __init__(self, region: ids.RegionName) -> None:
@@ -77,13 +77,15 @@
             name: self._credits.get(name, ShiftCredit()) for name in names
         }
 
-    def arrive(self, pool: ids.PoolName) -> None:
+    def count_arrival(self, pool: ids.PoolName) -> None:
         """Count the arrival of a request for the pool."""
         for shift in self._shifts.get(pool, {}).values():
             percent = min(shift.percent, shift.cap_percent)
-            self._credits[shift.name].arrive(percent)
+            self._credits[shift.name].count_arrival(percent)
 
-    def preferred(self, pool: ids.PoolName) -> ids.RegionName | None:
+    def get_preferred_region(
+        self, pool: ids.PoolName
+    ) -> ids.RegionName | None:
         """Return the region to which the next request should move."""
         shifts = self._shifts.get(pool)
         if not shifts:
@@ -92,20 +94,22 @@
             shifts.items(),
             key=lambda item: self._credits[item[1].name].credit,
         )
-        return region if self._credits[shift.name].can_take() else None
+        return region if self._credits[shift.name].has_credit() else None
 
-    def blocked(self, pool: ids.PoolName) -> frozenset[ids.RegionName]:
+    def list_blocked_regions(
+        self, pool: ids.PoolName
+    ) -> frozenset[ids.RegionName]:
         """Return the regions where no request of the pool may go now."""
         return frozenset(
             region
             for region, shift in self._shifts.get(pool, {}).items()
-            if not self._credits[shift.name].can_take()
+            if not self._credits[shift.name].has_credit()
         )
 
-    def take(self, pool: ids.PoolName, region: ids.RegionName) -> bool:
+    def try_acquire(self, pool: ids.PoolName, region: ids.RegionName) -> bool:
         """Account for a placement; False when it must not be made."""
         shift = self._shifts.get(pool, {}).get(region)
-        return shift is None or self._credits[shift.name].take()
+        return shift is None or self._credits[shift.name].try_acquire()
 
     def refund(self, pool: ids.PoolName, region: ids.RegionName) -> None:
         """Return the credit of a placement that sent nothing."""
