--- a/fulmarseam/entry/_claims.py
+++ b/fulmarseam/entry/_claims.py
@@ -51,7 +51,7 @@
             self._context.deadline - asyncio.get_running_loop().time()
         )
         try:
-            response = await self._claims.record_service.claim(
+            response = await self._claims.record_client.claim(
                 self._context.request_id,
                 self._context.content_fingerprint(),
                 self._attempt,
@@ -104,7 +104,7 @@
         self._phase = _Phase.ENDED
         assert self._context.request_id is not None
         self._claims.run_in_background(
-            self._claims.record_service.finish(
+            self._claims.record_client.finish(
                 self._context.request_id, self._attempt, answer
             )
         )
@@ -116,7 +116,7 @@
         self._phase = _Phase.ENDED
         assert self._context.request_id is not None
         self._claims.run_in_background(
-            self._claims.record_service.release(
+            self._claims.record_client.release(
                 self._context.request_id, self._attempt
             )
         )
@@ -126,9 +126,9 @@
     """Creates claims and stores their results in the background."""
 
     def __init__(
-        self, record_service: _records.RecordService, attempt_prefix: str
+        self, record_client: _records.RecordClient, attempt_prefix: str
     ) -> None:
-        self.record_service = record_service
+        self.record_client = record_client
         self._attempt_prefix = attempt_prefix
         self._claim_count = 0
         self._tasks: set[asyncio.Task[None]] = set()
--- a/fulmarseam/entry/_records.py
+++ b/fulmarseam/entry/_records.py
@@ -5,8 +5,8 @@
 from fulmarseam import wire
 
 
-class RecordService(Protocol):
-    """Manages claims of requests that run once; see `records.RecordClient`.
+class RecordClient(Protocol):
+    """Claims requests that run once; implemented by `records.RecordClient`.
 
     `attempt` identifies one processing of the request by one entry. Only
     the verdict FRESH allows the request to run; each FRESH claim is followed
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -318,8 +318,8 @@
         self.assertEqual(1, len(crashed_targets))
 
 
-class FakeRecordService:
-    """A record service with scripted verdicts that records its calls."""
+class FakeRecordClient:
+    """A record client with scripted verdicts that records its calls."""
 
     def __init__(self) -> None:
         self.verdict: wire.RecordVerdict | errors.FulmarseamError = (
@@ -359,8 +359,8 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.record_service = FakeRecordService()
-        self.entry.claims.record_service = self.record_service
+        self.record_client = FakeRecordClient()
+        self.entry.claims.record_client = self.record_client
 
     async def post(
         self, headers: str = KEY, path: str = '/'
@@ -375,16 +375,16 @@
             answer = await self.post(headers)
             self.assertEqual((400, 'not-run'), (answer.status, answer.outcome))
         self.assertEqual(b'', target.received_bytes)
-        self.assertEqual([], self.record_service.calls)
+        self.assertEqual([], self.record_client.calls)
 
     async def test_answer_is_stored(self) -> None:
         await self.start_target(fakes.answer_always(OK))
         answer = await self.post()
         self.assertEqual(200, answer.status)
         self.assertEqual(
-            ('claim', 'ost.1.0123456789'), self.record_service.calls[0]
+            ('claim', 'ost.1.0123456789'), self.record_client.calls[0]
         )
-        name, stored = self.record_service.calls[1]
+        name, stored = self.record_client.calls[1]
         assert isinstance(stored, wire.StoredAnswer)
         self.assertEqual(('finish', b'ok'), (name, stored.body))
 
@@ -394,7 +394,7 @@
         await self.start_target(fakes.answer_always(head + body))
         answer = await self.post()
         self.assertEqual(body, answer.body)
-        _, stored = self.record_service.calls[1]
+        _, stored = self.record_client.calls[1]
         assert isinstance(stored, wire.StoredAnswer)
         self.assertIsNone(stored.body)
 
@@ -419,7 +419,7 @@
         ]
         for found, answer, expected in cases:
             with self.subTest(found):
-                self.record_service.verdict = wire.RecordVerdict(
+                self.record_client.verdict = wire.RecordVerdict(
                     verdict=found, answer=answer
                 )
                 received = await self.post()
@@ -427,7 +427,7 @@
         self.assertEqual(b'kept', received.body)
         self.assertEqual(b'', target.received_bytes)
         self.assertEqual(
-            {'claim'}, {name for name, _ in self.record_service.calls}
+            {'claim'}, {name for name, _ in self.record_client.calls}
         )
 
     async def test_repeat_through_another_address_is_the_same(self) -> None:
@@ -449,32 +449,32 @@
                 + b'Content-Length: 3\r\n\r\n'
                 + body
             )
-        fingerprints = self.record_service.fingerprints
+        fingerprints = self.record_client.fingerprints
         self.assertEqual(5, len(fingerprints))
         self.assertEqual(1, len(set(fingerprints[:3])))
         self.assertEqual(3, len(set(fingerprints)))
 
     async def test_claim_without_a_response_is_released(self) -> None:
         target = await self.start_target(fakes.answer_always(OK))
-        self.record_service.verdict = errors.FulmarseamError(
+        self.record_client.verdict = errors.FulmarseamError(
             errors.ErrorKind.RECORD_UNAVAILABLE
         )
         answer = await self.post()
         self.assertEqual(
             (503, 'record_unavailable', 'unknown'), answer.describe()
         )
-        self.assertEqual('release', self.record_service.calls[-1][0])
+        self.assertEqual('release', self.record_client.calls[-1][0])
         self.assertEqual(b'', target.received_bytes)
 
     async def test_silent_holder_occupies_no_slot(self) -> None:
         await self.start_target(fakes.answer_always(OK), slots=1)
-        claim = self.record_service.claim
+        claim = self.record_client.claim
 
         async def claim_late(*arguments: Any) -> wire.RecordVerdict:
             await asyncio.sleep(0.5)
             return await claim(*arguments)
 
-        with mock.patch.object(self.record_service, 'claim', claim_late):
+        with mock.patch.object(self.record_client, 'claim', claim_late):
             waiting = asyncio.create_task(self.post())
             await self.wait_until(lambda: self.entry.caller_server.busy == 1)
             await asyncio.sleep(0.1)
@@ -486,7 +486,7 @@
             await asyncio.sleep(60)
 
         await self.start_target(fakes.answer_always(OK))
-        with mock.patch.object(self.record_service, 'finish', finish_late):
+        with mock.patch.object(self.record_client, 'finish', finish_late):
             await self.call('/', 'POST', b'abc', KEY)
             async with asyncio.timeout(1.0):
                 self.assertEqual(1, await self.entry.claims.flush(0.05))
@@ -497,14 +497,14 @@
         await self.wait_until(lambda: self.is_usable('t1'))
         answer = await self.post()
         self.assertEqual('no_target', answer.kind)
-        names = [name for name, _ in self.record_service.calls]
+        names = [name for name, _ in self.record_client.calls]
         self.assertEqual(['claim', 'release'], names)
 
     async def test_declared_not_run_is_released(self) -> None:
         await self.start_target(fakes.answer_always(SHED))
         answer = await self.post()
         self.assertEqual('target_shed', answer.kind)
-        names = [name for name, _ in self.record_service.calls]
+        names = [name for name, _ in self.record_client.calls]
         self.assertEqual(['claim', 'release'], names)
 
     async def test_broken_request_stays_unknown_and_is_not_repeated(
@@ -518,7 +518,7 @@
         self.assertEqual('target_failed', answer.kind)
         self.assertEqual(
             [('claim', 'ost.1.0123456789'), ('finish', None)],
-            self.record_service.calls,
+            self.record_client.calls,
         )
         received = b''.join(target.received_bytes for target in targets)
         self.assertEqual(1, received.count(b'POST'))
@@ -541,5 +541,5 @@
         )
         await self.wait_until(lambda: target.received_bytes)
         writer.close()
-        await self.wait_until(lambda: len(self.record_service.calls) == 2)
-        self.assertEqual(('finish', None), self.record_service.calls[1])
+        await self.wait_until(lambda: len(self.record_client.calls) == 2)
+        self.assertEqual(('finish', None), self.record_client.calls[1])
