--- a/fulmarseam/consensus/__init__.py
+++ b/fulmarseam/consensus/__init__.py
@@ -1,10 +1,11 @@
 """The replicated log of the control group.
 
-A `Member` replicates the commands of a `StateMachine` to the other members of
-its group. Messages of the types in `PEER_MESSAGES` belong to `handle`::
+A `Member` replicates the commands of a `StateMachine` to the other members
+of its group. The owner passes it each message of a type in `PEER_MESSAGES`
+by `handle`::
 
     member = consensus.Member(
-        consensus.MemberSettings.from_control(loaded), machine
+        consensus.MemberSettings.from_control(loaded), state_machine
     )
     async with member:
         result = await member.propose(b'command')
--- a/fulmarseam/consensus/_core.py
+++ b/fulmarseam/consensus/_core.py
@@ -33,12 +33,12 @@
         rng: _core_types.Rng,
         now: float,
     ) -> None:
-        self._state = _core_state.load_state(config, durable, rng, now)
+        self._state = _core_state.restore_state(config, durable, rng, now)
 
     def tick(self, now: float) -> _core_types.Effects:
-        """Do what is due; call it at `next_tick_at` at the latest."""
+        """Do what is due at `now`; call it at `next_tick_at` at the latest."""
         effects = _core_types.Effects()
-        if self._state.leads:
+        if self._state.is_leader:
             _core_leader.tick(self._state, now, effects)
         else:
             _core_election.tick(self._state, now, effects)
@@ -46,14 +46,14 @@
 
     def next_tick_at(self) -> float:
         """Return when the next tick is due."""
-        if self._state.leads:
-            return self._state.heartbeat_at
-        return self._state.election_at
+        if self._state.is_leader:
+            return self._state.heartbeat_due_at
+        return self._state.election_due_at
 
     def receive(
         self, now: float, sender: ids.MemberId, message: wire.ReplicaMessage
     ) -> _core_types.Effects:
-        """Handle a message; a request is answered by `Effects.reply`."""
+        """Handle a message; the response to a request is `Effects.reply`."""
         effects = _core_types.Effects()
         state = self._state
         match message:
@@ -66,11 +66,11 @@
                     state, now, sender, message, effects
                 )
             case wire.VoteRequest():
-                _core_election.handle_request(
+                _core_election.handle_vote_request(
                     state, now, sender, message, effects
                 )
             case wire.VoteResponse():
-                _core_election.handle_response(
+                _core_election.handle_vote_response(
                     state, now, sender, message, effects
                 )
             case wire.SnapshotChunk():
@@ -88,7 +88,7 @@
     ) -> _core_types.Effects:
         """Append commands as one batch.
 
-        Raises `errors.NotLeaderError` with nothing appended.
+        Raises `errors.NotLeaderError` and then appends nothing.
         """
         self._require_leader()
         effects = _core_types.Effects()
@@ -96,7 +96,7 @@
         return effects
 
     def confirm_leadership(self, now: float) -> _core_types.Effects:
-        """Start a round; `confirmed_round` tells when it is confirmed.
+        """Start a round; it is confirmed once `confirmed_round` reaches it.
 
         Raises `errors.NotLeaderError`.
         """
@@ -122,7 +122,7 @@
     def remove_member(
         self, now: float, member: ids.MemberId
     ) -> _core_types.Effects:
-        """Append a change that removes a member; raises like the above."""
+        """Append a change that removes a member; raises like `add_learner`."""
         self._require_leader()
         effects = _core_types.Effects()
         _core_change.remove_member(self._state, now, member, effects)
@@ -130,41 +130,44 @@
         return effects
 
     def compact(self, data: bytes) -> _core_types.Effects:
-        """Take over a snapshot of the machine at the commit index."""
+        """Compact the log; `data` is the state at the commit index."""
         effects = _core_types.Effects()
         _core_transfer.compact(self._state, data, effects)
         return effects
 
     def leadership_age(self, now: float) -> float | None:
-        """Return the age of the last confirmed round within the lease."""
+        """Return the seconds since the last confirmed round started.
+
+        None while this member holds no leader lease.
+        """
         return _core_rounds.leadership_age(self._state, now)
 
-    def answer_times(self) -> Mapping[ids.MemberId, float | None]:
-        """Return when each peer last answered this leader."""
+    def last_response_times(self) -> Mapping[ids.MemberId, float | None]:
+        """Return when each peer last answered, on the leader."""
         return {
-            member: peer.answered_at
+            member: peer.last_response_at
             for member, peer in self._state.peers.items()
         }
 
     def _require_leader(self) -> None:
-        if not self._state.leads:
+        if not self._state.is_leader:
             raise errors.NotLeaderError(self._state.leader)
 
     @property
     def leading_term(self) -> int | None:
-        """Return the term led, once an entry of it is committed."""
-        if _core_rounds.is_confirmed_term(self._state):
+        """Return the term that this member leads and has committed in."""
+        if _core_rounds.has_committed_in_term(self._state):
             return self._state.term
         return None
 
     @property
     def confirmed_round(self) -> int:
-        """Return the last round that a majority has answered."""
-        return self._state.rounds.confirmed if self._state.leads else 0
+        """Return the number of the last confirmed round, on the leader."""
+        return self._state.rounds.confirmed if self._state.is_leader else 0
 
     @property
     def role(self) -> _core_types.Role:
-        """Return the role."""
+        """Return the current role."""
         return self._state.role
 
     @property
@@ -174,27 +177,27 @@
 
     @property
     def leader(self) -> ids.MemberId | None:
-        """Return the leader of the current term, when known."""
+        """Return the leader of the current term, or None if unknown."""
         return self._state.leader
 
     @property
     def members(self) -> wire.GroupMembers:
-        """Return the members in force."""
+        """Return the newest members in the log, committed or not."""
         return self._state.members
 
     @property
     def commit_index(self) -> int:
-        """Return the last committed index."""
+        """Return the index of the last committed entry."""
         return self._state.commit_index
 
     @property
     def first_index(self) -> int:
-        """Return the first index held in the log."""
+        """Return the index of the first entry in the log."""
         return self._state.log.base_index + 1
 
     @property
     def last_index(self) -> int:
-        """Return the last index of the log."""
+        """Return the index of the last entry in the log."""
         return self._state.log.last_index
 
     @property
@@ -205,7 +208,7 @@
 
     @property
     def match_indexes(self) -> Mapping[ids.MemberId, int]:
-        """Return what each peer is known to hold, on the leader."""
+        """Return the last index that each peer has stored, on the leader."""
         return {
             member: peer.match_index
             for member, peer in self._state.peers.items()
--- a/fulmarseam/consensus/_core_change.py
+++ b/fulmarseam/consensus/_core_change.py
@@ -11,12 +11,12 @@
 from fulmarseam.consensus import _core_types
 
 
-def follow_members(state: _core_state.State) -> None:
-    """Keep one peer for each other member in force."""
+def sync_peers(state: _core_state.State) -> None:
+    """Keep one peer for each other member of the group."""
     others = [
         info.member
         for info in state.members.members
-        if info.member != state.me
+        if info.member != state.member_id
     ]
     for member in list(state.peers):
         if member not in others:
@@ -27,25 +27,27 @@
 
 
 def _can_change(state: _core_state.State) -> bool:
-    """Return whether no change is pending.
+    """Return whether a membership change may start.
 
-    A leader first commits an entry of its own term, because otherwise two
-    changes of different leaders could be in force without a common
-    majority.
+    None may be pending, and the leader must have committed an entry of its
+    own term. Otherwise changes of two leaders could both take effect without
+    a majority in common.
     """
     return (
-        _core_rounds.is_confirmed_term(state)
-        and state.history.current_index <= state.commit_index
+        _core_rounds.has_committed_in_term(state)
+        and state.member_history.current_index <= state.commit_index
     )
 
 
-def _refuse(detail: str) -> errors.FulmarseamError:
+def _make_refusal(detail: str) -> errors.FulmarseamError:
     return errors.FulmarseamError(errors.ErrorKind.INVALID_EDIT, detail)
 
 
-def _require_changeable(state: _core_state.State) -> None:
+def _require_no_pending_change(state: _core_state.State) -> None:
     if not _can_change(state):
-        raise _refuse('members: found a change in progress, expected none')
+        raise _make_refusal(
+            'members: found a change in progress, expected none'
+        )
 
 
 def add_learner(
@@ -58,16 +60,16 @@
     Raises `errors.FulmarseamError` with `INVALID_EDIT`.
     """
     members = state.members
-    known = _core_members.find_member(members, info.member)
-    if known is not None and known.store == info.store:
-        effects.first_index = state.history.current_index
+    existing = _core_members.find_member(members, info.member)
+    if existing is not None and existing.store == info.store:
+        effects.first_index = state.member_history.current_index
         return
-    if known is not None or info.member in members.retired:
-        raise _refuse(
+    if existing is not None or info.member in members.retired:
+        raise _make_refusal(
             f'member: found {info.member}, expected an id that this group '
             'has never had'
         )
-    _require_changeable(state)
+    _require_no_pending_change(state)
     learner = msgspec.structs.replace(info, voter=False)
     changed = wire.GroupMembers([*members.members, learner], members.retired)
     effects.first_index = _append_change(state, changed, effects)
@@ -81,25 +83,27 @@
 ) -> None:
     """Append the change that removes a member for good.
 
-    Raises `errors.FulmarseamError` with `INVALID_EDIT`, also when too few
-    of the voters left have answered lately to go on without the member.
+    Raises `errors.FulmarseamError` with `INVALID_EDIT`, also when less than
+    a majority of the remaining voters has answered recently.
     """
     members = state.members
     if member in members.retired:
-        effects.first_index = state.history.current_index
+        effects.first_index = state.member_history.current_index
         return
     if _core_members.find_member(members, member) is None:
-        raise _refuse(f'member: found {member}, expected one of the group')
-    _require_changeable(state)
-    left = [info for info in members.members if info.member != member]
-    changed = wire.GroupMembers(left, [*members.retired, member])
+        raise _make_refusal(
+            f'member: found {member}, expected a member of the group'
+        )
+    _require_no_pending_change(state)
+    remaining = [info for info in members.members if info.member != member]
+    changed = wire.GroupMembers(remaining, [*members.retired, member])
     reachable = _list_reachable(state, now)
     if not _core_members.has_majority(changed, reachable):
         voters = _core_members.list_voters(changed)
-        raise _refuse(
-            f'member: found {member}, expected one without which a '
-            f'majority of the voters ({", ".join(voters) or "none"}) can '
-            'be reached'
+        raise _make_refusal(
+            f'member: found {member}, expected a member without which a '
+            f'majority of the voters ({", ".join(voters) or "none"}) is '
+            'reachable'
         )
     effects.first_index = _append_change(state, changed, effects)
 
@@ -107,12 +111,12 @@
 def _list_reachable(
     state: _core_state.State, now: float
 ) -> list[ids.MemberId]:
-    reachable = [state.me]
+    reachable = [state.member_id]
     for member, peer in state.peers.items():
-        answered_at = peer.answered_at
-        if answered_at is None:
+        last_response_at = peer.last_response_at
+        if last_response_at is None:
             continue
-        if now - answered_at < state.config.election_max_s:
+        if now - last_response_at < state.config.election_max_s:
             reachable.append(member)
     return reachable
 
@@ -120,7 +124,7 @@
 def promote_learner(
     state: _core_state.State, effects: _core_types.Effects
 ) -> bool:
-    """Make a learner a voter once it holds every committed entry."""
+    """Make a learner a voter once it has every committed entry."""
     if not _can_change(state):
         return False
     for info in state.members.members:
@@ -148,7 +152,7 @@
     members: wire.GroupMembers,
     effects: _core_types.Effects,
 ) -> int:
-    """Append a member set and return its index."""
+    """Append an entry that sets the members; return its index."""
     entry = wire.LogEntry(
         state.log.last_index + 1,
         state.term,
@@ -156,14 +160,14 @@
         _core_members.encode_members(members),
     )
     _core_state.append_entries(state, [entry], effects)
-    follow_members(state)
+    sync_peers(state)
     return entry.index
 
 
-def has_left(state: _core_state.State) -> bool:
-    """Return whether this leader's own removal is committed."""
+def is_own_removal_committed(state: _core_state.State) -> bool:
+    """Return whether the removal of this leader is committed."""
     return (
-        state.leads
-        and _core_members.find_member(state.members, state.me) is None
-        and state.history.current_index <= state.commit_index
+        state.is_leader
+        and _core_members.find_member(state.members, state.member_id) is None
+        and state.member_history.current_index <= state.commit_index
     )
--- a/fulmarseam/consensus/_core_follower.py
+++ b/fulmarseam/consensus/_core_follower.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication."""
+"""Replication on a follower."""
 
 from fulmarseam import errors
 from fulmarseam import ids
@@ -15,14 +15,16 @@
     term: int,
     effects: _core_types.Effects,
 ) -> bool:
-    """Follow the sender unless its term is over."""
+    """Follow the sender unless its term is outdated."""
     if term < state.term:
         return False
-    if state.leads and term == state.term:
-        raise AssertionError(f'{sender} and {state.me} both lead term {term}')
+    if state.is_leader and term == state.term:
+        raise AssertionError(
+            f'{sender} and {state.member_id} both lead term {term}'
+        )
     _core_state.become_follower(state, now, term, sender, effects)
-    state.heard_at = now
-    _core_state.postpone_election(state, now)
+    state.leader_heard_at = now
+    _core_state.reset_election_timer(state, now)
     return True
 
 
@@ -33,23 +35,26 @@
     request: wire.AppendRequest,
     effects: _core_types.Effects,
 ) -> None:
-    """Append what follows a common entry, or name where to continue.
+    """Append the entries if the previous entry matches.
 
-    Raises `errors.WireError`, with nothing changed, when the entries are
+    Otherwise the reply hints at the index where the leader should continue.
+    Raises `errors.WireError` and changes nothing if the entries are
     malformed.
     """
     _require_well_formed(request)
     if not accept_leader(state, now, sender, request.term, effects):
-        effects.reply = _refuse_term(state, request)
+        effects.reply = _refuse_stale_term(state, request)
         return
     previous = request.previous_index
     if previous > state.log.last_index:
-        effects.reply = _reject(state, request, state.log.last_index + 1, 0)
+        effects.reply = _reject_mismatch(
+            state, request, state.log.last_index + 1, 0
+        )
         return
-    held_term = state.log.term_at(previous)
-    if held_term is not None and held_term != request.previous_term:
+    local_term = state.log.term_at(previous)
+    if local_term is not None and local_term != request.previous_term:
         first = state.log.first_index_of_term(previous)
-        effects.reply = _reject(state, request, first, held_term)
+        effects.reply = _reject_mismatch(state, request, first, local_term)
         return
     _append_new(state, request.entries, effects)
     match_index = previous + len(request.entries)
@@ -79,9 +84,10 @@
     entries: list[wire.LogEntry],
     effects: _core_types.Effects,
 ) -> None:
-    """Append from the first entry on that the log does not hold.
+    """Append the entries from the first one that is not in the log.
 
-    Entries up to the base of the log are covered by a snapshot and equal.
+    Entries up to the base index are skipped: the snapshot covers them, so
+    they are the same.
     """
     for position, entry in enumerate(entries):
         if entry.index <= state.log.base_index:
@@ -91,13 +97,14 @@
             return
 
 
-def _refuse_term(
+def _refuse_stale_term(
     state: _core_state.State, request: wire.AppendRequest
 ) -> wire.AppendResponse:
-    """Answer a leader whose term is over.
+    """Refuse an append of an outdated term.
 
-    The answer carries the term of this member, so it must confirm no round:
-    the sender may lead that term by now and number its rounds anew.
+    The response carries the term of this member, so it must not confirm a
+    round: by now the sender may lead that term, with round numbers that
+    start at 1 again.
     """
     return wire.AppendResponse(
         term=state.term,
@@ -107,7 +114,7 @@
     )
 
 
-def _reject(
+def _reject_mismatch(
     state: _core_state.State,
     request: wire.AppendRequest,
     hint_index: int,
--- a/fulmarseam/consensus/_core_leader.py
+++ b/fulmarseam/consensus/_core_leader.py
@@ -1,4 +1,4 @@
-"""A leader's replication to its peers."""
+"""Replication from the leader to its peers."""
 
 from collections.abc import Sequence
 
@@ -15,16 +15,16 @@
 def become_leader(
     state: _core_state.State, now: float, effects: _core_types.Effects
 ) -> None:
-    """Lead the current term and append its first entry."""
+    """Become the leader of the current term and append its first entry."""
     state.role = _core_types.Role.LEADER
-    state.leader = state.me
+    state.leader = state.member_id
     state.votes.clear()
     state.rounds = _core_state.Rounds()
-    state.led_since = now
-    state.heartbeat_at = now + state.config.heartbeat_s
+    state.leader_since = now
+    state.heartbeat_due_at = now + state.config.heartbeat_s
     state.term_start_index = state.log.last_index + 1
     state.peers.clear()
-    _core_change.follow_members(state)
+    _core_change.sync_peers(state)
     entry = wire.LogEntry(
         state.term_start_index, state.term, wire.EntryType.TERM_START
     )
@@ -52,13 +52,13 @@
 def tick(
     state: _core_state.State, now: float, effects: _core_types.Effects
 ) -> None:
-    """Send heartbeats; step down without an answering majority."""
+    """Send due heartbeats; step down if no majority answers any more."""
     if _core_rounds.has_lost_quorum(state, now):
         _core_state.become_follower(state, now, state.term, None, effects)
         return
-    if now >= state.heartbeat_at:
+    if now >= state.heartbeat_due_at:
         for peer in state.peers.values():
-            _restart_stalled(state, now, peer)
+            _reset_stalled(state, now, peer)
         send_heartbeats(state, now, effects)
 
 
@@ -67,39 +67,42 @@
 ) -> int:
     """Start a round with a message to each peer; return its number."""
     number = _core_rounds.start_round(state, now)
-    state.heartbeat_at = now + state.config.heartbeat_s
+    state.heartbeat_due_at = now + state.config.heartbeat_s
     for member, peer in state.peers.items():
-        if not _send_to(state, now, member, peer, effects):
+        if not _send_pending(state, now, member, peer, effects):
             _send_heartbeat(state, member, peer, effects)
-    _finish(state, now, effects)
+    _update_progress(state, now, effects)
     return number
 
 
 def broadcast(
     state: _core_state.State, now: float, effects: _core_types.Effects
 ) -> None:
-    """Send new entries to all peers that can take them."""
+    """Start a round and send new entries to all peers that are ready."""
     _core_rounds.start_round(state, now)
     for member, peer in state.peers.items():
-        _send_to(state, now, member, peer, effects)
-    _finish(state, now, effects)
+        _send_pending(state, now, member, peer, effects)
+    _update_progress(state, now, effects)
 
 
-def _restart_stalled(
+def _reset_stalled(
     state: _core_state.State, now: float, peer: _core_state.Peer
 ) -> None:
-    """Send again what was not answered within an election timeout."""
-    is_pending = peer.waiting or bool(peer.in_flight)
-    if not is_pending or now - peer.sent_at < state.config.election_min_s:
+    """Prepare a peer for resending after an election timeout."""
+    is_pending = peer.awaiting_response or bool(peer.in_flight)
+    if (
+        not is_pending
+        or now - peer.last_activity_at < state.config.election_min_s
+    ):
         return
-    peer.waiting = False
+    peer.awaiting_response = False
     if peer.mode is _core_state.PeerMode.REPLICATE:
         _start_probe(peer, peer.match_index + 1)
 
 
 def _start_probe(peer: _core_state.Peer, next_index: int) -> None:
     peer.mode = _core_state.PeerMode.PROBE
-    peer.waiting = False
+    peer.awaiting_response = False
     peer.in_flight.clear()
     peer.next_index = next_index
 
@@ -110,7 +113,7 @@
     peer: _core_state.Peer,
     effects: _core_types.Effects,
 ) -> None:
-    """Send an append without entries that follows the last common entry."""
+    """Send an append without entries, based on the last matching entry."""
     previous_index = peer.match_index
     previous_term = state.log.term_at(previous_index)
     if previous_term is None:
@@ -122,22 +125,22 @@
         previous_term=previous_term,
         commit_index=min(state.commit_index, previous_index),
     )
-    effects.messages.append(_core_types.Outgoing(member, request))
+    effects.messages.append(_core_types.OutgoingRequest(member, request))
 
 
-def _send_to(
+def _send_pending(
     state: _core_state.State,
     now: float,
     member: ids.MemberId,
     peer: _core_state.Peer,
     effects: _core_types.Effects,
 ) -> bool:
-    """Send what the peer lacks and can take; return if anything was sent."""
+    """Send what the peer is ready for; return whether anything was sent."""
     sent = False
-    while _can_take(state, peer):
+    while _can_send(state, peer):
         in_transfer = peer.mode is _core_state.PeerMode.SNAPSHOT
         if not in_transfer and _needs_snapshot(state, peer):
-            _core_transfer.start(state, peer)
+            _core_transfer.start_transfer(state, peer)
             in_transfer = True
         if in_transfer:
             _core_transfer.send_chunk(state, now, member, peer, effects)
@@ -147,12 +150,12 @@
     return sent
 
 
-def _can_take(state: _core_state.State, peer: _core_state.Peer) -> bool:
+def _can_send(state: _core_state.State, peer: _core_state.Peer) -> bool:
     if peer.mode is not _core_state.PeerMode.REPLICATE:
-        return not peer.waiting
+        return not peer.awaiting_response
     return (
         peer.next_index <= state.log.last_index
-        and len(peer.in_flight) < state.config.max_in_flight
+        and len(peer.in_flight) < state.config.max_appends_in_flight
     )
 
 
@@ -169,7 +172,7 @@
 ) -> None:
     config = state.config
     previous = peer.next_index - 1
-    entries = state.log.slice(
+    entries = state.log.read_batch(
         peer.next_index, config.max_batch_entries, config.max_batch_bytes
     )
     request = wire.AppendRequest(
@@ -180,11 +183,11 @@
         commit_index=state.commit_index,
         entries=entries,
     )
-    effects.messages.append(_core_types.Outgoing(member, request))
+    effects.messages.append(_core_types.OutgoingRequest(member, request))
     if not peer.in_flight:
-        peer.sent_at = now
+        peer.last_activity_at = now
     if peer.mode is _core_state.PeerMode.PROBE:
-        peer.waiting = True
+        peer.awaiting_response = True
         return
     peer.next_index = previous + len(entries) + 1
     peer.in_flight.append(previous + len(entries))
@@ -197,18 +200,18 @@
     response: wire.AppendResponse,
     effects: _core_types.Effects,
 ) -> None:
-    """Take over a peer's progress and continue."""
-    peer = _note_answer(
+    """Record the progress of a peer and send what follows."""
+    peer = _record_response(
         state, now, sender, response.term, response.round, effects
     )
     if peer is None:
         return
     if response.success:
-        _note_match(now, peer, response.match_index)
+        _record_match(now, peer, response.match_index)
     else:
-        _step_back(state, peer, response)
-    _send_to(state, now, sender, peer, effects)
-    _finish(state, now, effects)
+        _rewind_next_index(state, peer, response)
+    _send_pending(state, now, sender, peer, effects)
+    _update_progress(state, now, effects)
 
 
 def handle_snapshot_response(
@@ -218,18 +221,18 @@
     response: wire.SnapshotResponse,
     effects: _core_types.Effects,
 ) -> None:
-    """Continue a snapshot transfer, or the log after it."""
-    peer = _note_answer(
+    """Continue a snapshot transfer, or the log after its end."""
+    peer = _record_response(
         state, now, sender, response.term, response.round, effects
     )
     if peer is None:
         return
-    _core_transfer.note_response(now, peer, response)
-    _send_to(state, now, sender, peer, effects)
-    _finish(state, now, effects)
+    _core_transfer.advance_transfer(now, peer, response)
+    _send_pending(state, now, sender, peer, effects)
+    _update_progress(state, now, effects)
 
 
-def _note_answer(
+def _record_response(
     state: _core_state.State,
     now: float,
     sender: ids.MemberId,
@@ -237,80 +240,82 @@
     number: int,
     effects: _core_types.Effects,
 ) -> _core_state.Peer | None:
-    """Return the peer that answered, when the answer is for this term."""
+    """Record a response; return its peer, or None if it is outdated."""
     if term > state.term:
         _core_state.become_follower(state, now, term, None, effects)
         return None
     peer = state.peers.get(sender)
-    if not state.leads or term < state.term or peer is None:
+    if not state.is_leader or term < state.term or peer is None:
         return None
-    peer.answered_at = now
-    peer.acked_round = max(peer.acked_round, number)
+    peer.last_response_at = now
+    peer.acknowledged_round = max(peer.acknowledged_round, number)
     return peer
 
 
-def _note_match(now: float, peer: _core_state.Peer, index: int) -> None:
+def _record_match(now: float, peer: _core_state.Peer, index: int) -> None:
     if index > peer.match_index:
-        peer.sent_at = now
+        peer.last_activity_at = now
     peer.match_index = max(peer.match_index, index)
     while peer.in_flight and peer.in_flight[0] <= peer.match_index:
         peer.in_flight.popleft()
     is_probe = peer.mode is _core_state.PeerMode.PROBE
     if is_probe and peer.match_index >= peer.next_index - 1:
         peer.mode = _core_state.PeerMode.REPLICATE
-        peer.waiting = False
+        peer.awaiting_response = False
         peer.next_index = peer.match_index + 1
 
 
-def _step_back(
+def _rewind_next_index(
     state: _core_state.State,
     peer: _core_state.Peer,
     response: wire.AppendResponse,
 ) -> None:
-    """Choose an earlier index to continue at, a whole term at a time."""
+    """Choose an earlier index to probe, skipping a whole term at a time."""
     rejected = response.rejected_index
     if rejected <= peer.match_index:
         return
     if peer.mode is _core_state.PeerMode.REPLICATE:
         _start_probe(peer, peer.match_index + 1)
         return
-    is_answer = rejected == peer.next_index - 1
-    if peer.mode is not _core_state.PeerMode.PROBE or not is_answer:
+    is_answer_to_probe = rejected == peer.next_index - 1
+    if peer.mode is not _core_state.PeerMode.PROBE or not is_answer_to_probe:
         return
     next_index = response.hint_index
     if response.hint_term:
-        common = state.log.last_index_of_term(response.hint_term, rejected)
-        if common is not None:
-            next_index = common + 1
+        last_common = state.log.last_index_of_term(
+            response.hint_term, rejected
+        )
+        if last_common is not None:
+            next_index = last_common + 1
     next_index = max(peer.match_index + 1, min(next_index, rejected))
     _start_probe(peer, next_index)
 
 
-def _finish(
+def _update_progress(
     state: _core_state.State, now: float, effects: _core_types.Effects
 ) -> None:
-    """Count answers, commit, and go on with membership changes."""
-    _core_rounds.count_answers(state)
+    """Update rounds, commit index and membership after an event."""
+    _core_rounds.update_confirmed_round(state)
     _commit(state, effects)
-    if _core_change.has_left(state):
+    if _core_change.is_own_removal_committed(state):
         _core_state.become_follower(state, now, state.term, None, effects)
     elif _core_change.promote_learner(state, effects):
         broadcast(state, now, effects)
 
 
 def _commit(state: _core_state.State, effects: _core_types.Effects) -> None:
-    """Commit what a majority holds, if it ends in the current term.
+    """Commit what a majority has stored, up to an entry of this term.
 
-    An entry of an earlier term is committed only together with one of
-    this term, since a later leader could still replace it.
+    An entry of an earlier term is committed only together with an entry of
+    this term, since a later leader could still replace it otherwise.
     """
-    held = []
+    match_indexes = []
     for voter in _core_members.list_voters(state.members):
         peer = state.peers.get(voter)
-        if voter == state.me:
-            held.append(state.log.last_index)
+        if voter == state.member_id:
+            match_indexes.append(state.log.last_index)
         else:
-            held.append(peer.match_index if peer else 0)
-    index = _core_members.majority_value(held)
+            match_indexes.append(peer.match_index if peer else 0)
+    index = _core_members.majority_value(match_indexes)
     if index > state.commit_index and state.log.term_at(index) == state.term:
         _core_state.advance_commit(state, index, effects)
--- a/fulmarseam/consensus/_core_log.py
+++ b/fulmarseam/consensus/_core_log.py
@@ -1,4 +1,4 @@
-"""The log in memory."""
+"""The log of a replica in memory."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 
 class Log:
-    """Entries after a base index, which a snapshot covers."""
+    """Log entries after `base_index`; a snapshot covers all up to it."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         return self._entries[-1].term if self._entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None when it is not held."""
+        """Return the term of an entry, or None if it is not in the log."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -39,39 +39,42 @@
         return None
 
     def append(self, entries: Sequence[wire.LogEntry]) -> None:
-        """Add entries, replacing those from the first index on."""
+        """Append entries, replacing the log from the first of them on."""
         if not entries:
             return
-        keep = entries[0].index - self.base_index - 1
-        if not 0 <= keep <= len(self._entries):
+        kept_count = entries[0].index - self.base_index - 1
+        if not 0 <= kept_count <= len(self._entries):
             raise AssertionError(
                 f'entry {entries[0].index} does not follow the log '
                 f'({self.base_index}, {self.last_index}]'
             )
-        del self._entries[keep:]
+        del self._entries[kept_count:]
         self._entries.extend(entries)
 
-    def slice(
+    def read_batch(
         self, first: int, max_entries: int, max_bytes: int
     ) -> list[wire.LogEntry]:
-        """Return entries from `first` on within limits, at least one."""
+        """Return entries from `first` on, within the limits.
+
+        The first entry is returned even if it exceeds `max_bytes`.
+        """
         start = first - self.base_index - 1
-        taken: list[wire.LogEntry] = []
+        batch: list[wire.LogEntry] = []
         size = 0
         for entry in self._entries[start : start + max_entries]:
             size += len(entry.data)
-            if taken and size > max_bytes:
+            if batch and size > max_bytes:
                 break
-            taken.append(entry)
-        return taken
+            batch.append(entry)
+        return batch
 
-    def range(self, first: int, last: int) -> list[wire.LogEntry]:
+    def read_range(self, first: int, last: int) -> list[wire.LogEntry]:
         """Return the entries from `first` to `last`, both included."""
         start = first - self.base_index - 1
         return self._entries[start : last - self.base_index]
 
-    def tail(self) -> list[wire.LogEntry]:
-        """Return all entries held."""
+    def all_entries(self) -> list[wire.LogEntry]:
+        """Return all entries."""
         return list(self._entries)
 
     def compact(self, index: int) -> None:
@@ -84,20 +87,20 @@
         self.base_term = term
 
     def reset(self, index: int, term: int) -> None:
-        """Drop all entries and start after a snapshot."""
+        """Drop all entries; the next entry follows `index`."""
         self._entries = []
         self.base_index = index
         self.base_term = term
 
     def first_index_of_term(self, index: int) -> int:
-        """Return the first held index with the same term as `index`."""
+        """Return the first index in the log with the same term as `index`."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def last_index_of_term(self, term: int, limit: int) -> int | None:
-        """Return the last index up to `limit` that has `term`."""
+        """Return the last index up to `limit` with `term`, or None."""
         end = max(0, min(limit, self.last_index) - self.base_index)
         for entry in reversed(list(itertools.islice(self._entries, end))):
             if entry.term == term:
--- a/fulmarseam/consensus/_core_members.py
+++ b/fulmarseam/consensus/_core_members.py
@@ -1,4 +1,4 @@
-"""The members of the group as the log sets them."""
+"""The members of the group according to the log."""
 
 from collections.abc import Iterable
 
@@ -18,7 +18,7 @@
 
 
 def decode_members(data: bytes) -> wire.GroupMembers:
-    """Return the members that a `MEMBERS` entry holds.
+    """Return the members from the data of a `MEMBERS` entry.
 
     Raises `errors.WireError`.
     """
@@ -29,10 +29,10 @@
 
 
 class MemberHistory:
-    """Sets of members by the index of the entry that set them.
+    """Member sets, each with the index of the entry that set it.
 
-    A set is in force from the moment its entry is in the log, committed
-    or not, as single-server changes require.
+    A set takes effect as soon as its entry is in the log, committed or not,
+    as required by single-server membership changes.
     """
 
     def __init__(self, index: int, members: wire.GroupMembers) -> None:
@@ -40,16 +40,16 @@
 
     @property
     def current(self) -> wire.GroupMembers:
-        """Return the members in force."""
+        """Return the newest member set."""
         return self._sets[-1][1]
 
     @property
     def current_index(self) -> int:
-        """Return the index that set the members in force."""
+        """Return the index of the entry that set the newest member set."""
         return self._sets[-1][0]
 
-    def at(self, index: int) -> wire.GroupMembers:
-        """Return the members as of `index`."""
+    def members_at(self, index: int) -> wire.GroupMembers:
+        """Return the member set that applied at `index`."""
         found = self._sets[0][1]
         for position, members in self._sets:
             if position <= index:
@@ -57,29 +57,29 @@
         return found
 
     def has_only_voter(self, member: ids.MemberId) -> bool:
-        """Return whether `member` is the only voter of all sets known."""
+        """Return whether `member` is the only voter in every member set."""
         return all(
             list_voters(members) == [member] for _, members in self._sets
         )
 
-    def note(self, entries: Iterable[wire.LogEntry]) -> None:
-        """Take over the member sets of appended entries."""
+    def add_entries(self, entries: Iterable[wire.LogEntry]) -> None:
+        """Add the member sets of appended entries."""
         for entry in entries:
             if entry.type is wire.EntryType.MEMBERS:
                 self._sets.append((entry.index, decode_members(entry.data)))
 
     def truncate(self, first: int) -> None:
-        """Forget the sets of the entries from `first` on."""
+        """Drop the sets of entries from `first` on."""
         base = self._sets[0]
         later = [item for item in self._sets[1:] if item[0] < first]
         self._sets = [base, *later]
 
     def compact(self, index: int) -> None:
-        """Fold the sets up to `index` into the base."""
-        self.replace_base(index, self.at(index))
+        """Replace the sets up to `index` by the last of them."""
+        self.replace_base(index, self.members_at(index))
 
     def replace_base(self, index: int, members: wire.GroupMembers) -> None:
-        """Replace the sets up to `index` by the one of a snapshot."""
+        """Replace the sets up to `index` by `members`."""
         later = [item for item in self._sets if item[0] > index]
         self._sets = [(index, members), *later]
 
@@ -87,7 +87,7 @@
 def find_member(
     members: wire.GroupMembers, member: ids.MemberId
 ) -> wire.MemberInfo | None:
-    """Return the entry of a member, or None."""
+    """Return what the group has recorded for a member, or None."""
     for info in members.members:
         if info.member == member:
             return info
@@ -102,14 +102,14 @@
 def has_majority(
     members: wire.GroupMembers, agreeing: Iterable[ids.MemberId]
 ) -> bool:
-    """Return whether `agreeing` holds a majority of the voters."""
+    """Return whether `agreeing` contains a majority of the voters."""
     voters = list_voters(members)
     count = len(set(agreeing).intersection(voters))
     return 2 * count > len(voters)
 
 
 def majority_value(values: list[int]) -> int:
-    """Return the highest value that a majority has reached."""
+    """Return the highest value that a majority of `values` reaches."""
     if not values:
         return 0
     return sorted(values, reverse=True)[len(values) // 2]
--- a/fulmarseam/consensus/_core_state.py
+++ b/fulmarseam/consensus/_core_state.py
@@ -1,4 +1,4 @@
-"""The state of a replica and the steps between roles."""
+"""The state of a replica and the transitions between its roles."""
 
 import collections
 import dataclasses
@@ -14,8 +14,8 @@
 class PeerMode(enum.Enum):
     """How a leader sends its log to a peer.
 
-    PROBE looks for the last common entry with one message at a time,
-    REPLICATE sends ahead, SNAPSHOT transfers a snapshot.
+    PROBE searches for the last common entry, one message at a time.
+    REPLICATE pipelines appends. SNAPSHOT transfers a snapshot.
     """
 
     PROBE = 'probe'
@@ -25,46 +25,50 @@
 
 @dataclasses.dataclass
 class Peer:
-    """What a leader knows of another member.
+    """The replication state that a leader keeps for another member.
 
-    `in_flight` holds the last index of each append not yet answered, and
-    `sent_at` the time of the last send or progress. `waiting` is set while
-    the one message of PROBE or SNAPSHOT is not answered.
+    `in_flight` holds the last index of each append that is not answered
+    yet. `last_activity_at` is when the peer last made progress or was sent
+    the first message of those not answered. `awaiting_response` is set
+    while the single message of PROBE or SNAPSHOT is not answered.
+    `acknowledged_round` is the newest round that the peer has answered.
     """
 
     next_index: int
     match_index: int = 0
     mode: PeerMode = PeerMode.PROBE
-    waiting: bool = False
+    awaiting_response: bool = False
     in_flight: collections.deque[int] = dataclasses.field(
         default_factory=collections.deque
     )
-    sent_at: float = 0.0
-    answered_at: float | None = None
-    acked_round: int = 0
+    last_activity_at: float = 0.0
+    last_response_at: float | None = None
+    acknowledged_round: int = 0
     snapshot: _core_types.Snapshot | None = None
-    offset: int = 0
+    snapshot_offset: int = 0
 
 
 @dataclasses.dataclass
 class Rounds:
-    """Confirmation rounds of a leader.
+    """Confirmation rounds, which prove that a leader still leads.
 
-    A round is confirmed when a majority of the voters has answered a
-    message that was sent after the round started.
+    A round is confirmed when a majority of the voters has answered messages
+    that were sent after the round started. `confirmed` is the number of the
+    last confirmed round and `confirmed_start` is when it started;
+    `pending_starts` holds number and start time of each later round.
     """
 
     current: int = 0
-    starts: collections.deque[tuple[int, float]] = dataclasses.field(
+    pending_starts: collections.deque[tuple[int, float]] = dataclasses.field(
         default_factory=collections.deque
     )
     confirmed: int = 0
-    confirmed_at: float | None = None
+    confirmed_start: float | None = None
 
 
 @dataclasses.dataclass
-class Incoming:
-    """A snapshot that is being received."""
+class IncomingSnapshot:
+    """The received part of a snapshot transfer."""
 
     meta: wire.SnapshotMeta
     data: bytearray = dataclasses.field(default_factory=bytearray)
@@ -74,98 +78,101 @@
 class State:
     """All state of a replica.
 
-    `heard_at` is when a leader was last heard. A replica that starts
-    counts as having just heard one, because before its restart it may have
-    answered a round that a leader lease still rests on.
+    `leader_heard_at` is when a leader last sent a message. A replica that
+    starts sets it to the start time: before its restart it may have answered
+    a round on which a leader lease still depends.
     """
 
     config: _core_types.ReplicaConfig
     rng: _core_types.Rng
     log: _core_log.Log
-    history: _core_members.MemberHistory
+    member_history: _core_members.MemberHistory
     term: int
     vote: ids.MemberId | None
     commit_index: int
-    heard_at: float
+    leader_heard_at: float
     snapshot: _core_types.Snapshot | None = None
-    election_at: float = 0.0
+    election_due_at: float = 0.0
     role: _core_types.Role = _core_types.Role.FOLLOWER
     leader: ids.MemberId | None = None
     pre_voting: bool = False
     votes: set[ids.MemberId] = dataclasses.field(default_factory=set)
     peers: dict[ids.MemberId, Peer] = dataclasses.field(default_factory=dict)
     rounds: Rounds = dataclasses.field(default_factory=Rounds)
-    led_since: float = 0.0
-    heartbeat_at: float = 0.0
+    leader_since: float = 0.0
+    heartbeat_due_at: float = 0.0
     term_start_index: int = 0
-    incoming: Incoming | None = None
+    incoming_snapshot: IncomingSnapshot | None = None
 
     @property
-    def me(self) -> ids.MemberId:
+    def member_id(self) -> ids.MemberId:
         """Return the id of this member."""
         return self.config.member_id
 
     @property
     def members(self) -> wire.GroupMembers:
-        """Return the members in force."""
-        return self.history.current
+        """Return the newest members in the log, committed or not."""
+        return self.member_history.current
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Return whether this member is the leader."""
         return self.role is _core_types.Role.LEADER
 
     @property
-    def may_campaign(self) -> bool:
-        """Return whether this member is a voter, or was until just now.
+    def can_campaign(self) -> bool:
+        """Return whether this member may stand for election.
 
-        A member whose own removal is in its log but not committed may be
-        the only one whose log is complete enough to lead.
+        Besides the voters, a member may whose removal is in its log but not
+        committed: its log may be the only one complete enough to lead.
         """
-        committed = self.history.at(self.commit_index)
+        committed = self.member_history.members_at(self.commit_index)
         voters = [
             *_core_members.list_voters(self.members),
             *_core_members.list_voters(committed),
         ]
-        return self.me in voters
+        return self.member_id in voters
 
 
-def load_state(
+def restore_state(
     config: _core_types.ReplicaConfig,
     durable: _core_types.DurableState,
     rng: _core_types.Rng,
     now: float,
 ) -> State:
-    """Return the state of a replica that starts now."""
+    """Return the state of a replica that starts from its stored state."""
     snapshot = durable.snapshot
     index = snapshot.meta.index if snapshot else 0
     members = snapshot.meta.members if snapshot else durable.initial_members
     history = _core_members.MemberHistory(index, members)
-    history.note(entry for entry in durable.entries if entry.index > index)
+    history.add_entries(
+        entry for entry in durable.entries if entry.index > index
+    )
     state = State(
         config=config,
         rng=rng,
         log=_core_log.Log(
             durable.base_index, durable.base_term, durable.entries
         ),
-        history=history,
+        member_history=history,
         term=durable.term,
         vote=durable.vote,
         commit_index=index,
-        heard_at=now,
+        leader_heard_at=now,
         snapshot=snapshot,
     )
-    postpone_election(state, now)
-    # With an earlier set of more voters, one of them may hold a lease.
-    if history.has_only_voter(state.me):
-        state.election_at = now
+    reset_election_timer(state, now)
+    # The only voter may lead at once, unless an earlier member set had other
+    # voters: one of them may still hold a leader lease.
+    if history.has_only_voter(state.member_id):
+        state.election_due_at = now
     return state
 
 
-def postpone_election(state: State, now: float) -> None:
-    """Start the wait for a leader anew."""
+def reset_election_timer(state: State, now: float) -> None:
+    """Start a new election timeout of random length."""
     config = state.config
-    state.election_at = now + state.rng.uniform(
+    state.election_due_at = now + state.rng.uniform(
         config.election_min_s, config.election_max_s
     )
 
@@ -176,7 +183,7 @@
     vote: ids.MemberId | None,
     effects: _core_types.Effects,
 ) -> None:
-    """Set and record the term and the vote."""
+    """Set the term and the vote, and record them for the disk."""
     state.term = term
     state.vote = vote
     effects.records.append(_core_types.TermRecord(term, vote))
@@ -189,11 +196,11 @@
     leader: ids.MemberId | None,
     effects: _core_types.Effects,
 ) -> None:
-    """Follow `leader`, or nobody yet, in `term`."""
+    """Become a follower in `term`; `leader` is None if not known yet."""
     if term > state.term:
         set_term(state, term, None, effects)
     if state.role is not _core_types.Role.FOLLOWER:
-        postpone_election(state, now)
+        reset_election_timer(state, now)
     state.role = _core_types.Role.FOLLOWER
     state.leader = leader
     state.pre_voting = False
@@ -206,7 +213,7 @@
     entries: list[wire.LogEntry],
     effects: _core_types.Effects,
 ) -> None:
-    """Append entries to the log, replacing those from the first on."""
+    """Append entries, replacing the log from the first of them on."""
     if not entries:
         return
     first = entries[0].index
@@ -215,9 +222,9 @@
             f'entry {first} would replace a committed entry '
             f'(commit index {state.commit_index})'
         )
-    state.history.truncate(first)
+    state.member_history.truncate(first)
     state.log.append(entries)
-    state.history.note(entries)
+    state.member_history.add_entries(entries)
     effects.records.append(_core_types.EntriesRecord(entries))
 
 
@@ -227,5 +234,7 @@
     """Commit the entries up to `index`."""
     if index <= state.commit_index:
         return
-    effects.committed.extend(state.log.range(state.commit_index + 1, index))
+    effects.committed.extend(
+        state.log.read_range(state.commit_index + 1, index)
+    )
     state.commit_index = index
--- a/fulmarseam/consensus/_core_transfer.py
+++ b/fulmarseam/consensus/_core_transfer.py
@@ -1,4 +1,4 @@
-"""Compaction, and snapshot transfer in chunks."""
+"""Log compaction, and transfer of snapshots in chunks."""
 
 import zlib
 
@@ -12,7 +12,7 @@
 def compact(
     state: _core_state.State, data: bytes, effects: _core_types.Effects
 ) -> None:
-    """Take over a snapshot of everything committed, and drop the log."""
+    """Store a snapshot of everything committed, and compact the log."""
     index = state.commit_index
     covered = state.snapshot.meta.index if state.snapshot else 0
     if index <= covered:
@@ -20,10 +20,10 @@
     state.snapshot = _core_types.make_snapshot(
         index,
         state.log.term_at(index) or 0,
-        state.history.at(index),
+        state.member_history.members_at(index),
         data,
     )
-    state.history.compact(index)
+    state.member_history.compact(index)
     keep_from = index - state.config.keep_entries
     state.log.compact(max(state.log.base_index, keep_from))
     _record_snapshot(state, effects)
@@ -33,26 +33,26 @@
     state: _core_state.State, effects: _core_types.Effects
 ) -> None:
     if state.snapshot is None:
-        raise AssertionError('no snapshot to record')
+        raise AssertionError('found no snapshot, expected one to record')
     effects.records.append(
         _core_types.SnapshotRecord(
             snapshot=state.snapshot,
             base_index=state.log.base_index,
             base_term=state.log.base_term,
-            entries=state.log.tail(),
+            entries=state.log.all_entries(),
             term=state.term,
             vote=state.vote,
         )
     )
 
 
-def start(state: _core_state.State, peer: _core_state.Peer) -> None:
-    """Turn a peer that is behind the log to snapshot transfer."""
+def start_transfer(state: _core_state.State, peer: _core_state.Peer) -> None:
+    """Start a snapshot transfer to a peer that is behind the log."""
     peer.mode = _core_state.PeerMode.SNAPSHOT
     peer.in_flight.clear()
-    peer.waiting = False
+    peer.awaiting_response = False
     peer.snapshot = state.snapshot
-    peer.offset = 0
+    peer.snapshot_offset = 0
 
 
 def send_chunk(
@@ -62,34 +62,36 @@
     peer: _core_state.Peer,
     effects: _core_types.Effects,
 ) -> None:
-    """Send the next chunk of a transfer."""
+    """Send the next chunk of a snapshot."""
     if peer.snapshot is None:
-        raise AssertionError(f'no snapshot to send to {member}')
+        raise AssertionError(
+            f'found no snapshot to send to {member}, expected one'
+        )
     meta, data = peer.snapshot
-    end = peer.offset + state.config.chunk_bytes
+    end = peer.snapshot_offset + state.config.chunk_bytes
     request = wire.SnapshotChunk(
         term=state.term,
         round=state.rounds.current,
         meta=meta,
-        offset=peer.offset,
-        data=data[peer.offset : end],
+        offset=peer.snapshot_offset,
+        data=data[peer.snapshot_offset : end],
     )
-    effects.messages.append(_core_types.Outgoing(member, request))
-    peer.waiting = True
-    peer.sent_at = now
+    effects.messages.append(_core_types.OutgoingRequest(member, request))
+    peer.awaiting_response = True
+    peer.last_activity_at = now
 
 
-def note_response(
+def advance_transfer(
     now: float, peer: _core_state.Peer, response: wire.SnapshotResponse
 ) -> None:
-    """Go on with the next chunk, or leave the transfer when it is done."""
+    """Select the next chunk, or end the transfer when it is done."""
     if peer.mode is not _core_state.PeerMode.SNAPSHOT or not peer.snapshot:
         return
     if response.index != peer.snapshot.meta.index:
         return
-    peer.waiting = False
-    peer.sent_at = now
-    peer.offset = response.next_offset
+    peer.awaiting_response = False
+    peer.last_activity_at = now
+    peer.snapshot_offset = response.next_offset
     if response.done:
         peer.match_index = max(peer.match_index, response.index)
         peer.next_index = peer.match_index + 1
@@ -104,15 +106,16 @@
     chunk: wire.SnapshotChunk,
     effects: _core_types.Effects,
 ) -> None:
-    """Collect a chunk; install the snapshot when it is complete."""
+    """Store a received chunk; install the snapshot once it is complete."""
     accepted = _core_follower.accept_leader(
         state, now, sender, chunk.term, effects
     )
-    done = accepted and _collect(state, chunk, effects)
-    incoming = state.incoming
+    done = accepted and _collect_chunk(state, chunk, effects)
+    incoming = state.incoming_snapshot
     effects.reply = wire.SnapshotResponse(
         term=state.term,
-        # A refusal carries another term than the chunk and confirms no round.
+        # A refusal carries another term than the chunk, so it must not
+        # confirm a round of the sender.
         round=chunk.round if accepted else 0,
         index=chunk.meta.index,
         next_offset=len(incoming.data) if incoming else 0,
@@ -120,44 +123,49 @@
     )
 
 
-def _collect(
+def _collect_chunk(
     state: _core_state.State,
     chunk: wire.SnapshotChunk,
     effects: _core_types.Effects,
 ) -> bool:
     if chunk.meta.index <= state.commit_index:
-        state.incoming = None
+        state.incoming_snapshot = None
         return True
-    if state.incoming is None or state.incoming.meta != chunk.meta:
-        state.incoming = _core_state.Incoming(chunk.meta)
-    data = state.incoming.data
+    if (
+        state.incoming_snapshot is None
+        or state.incoming_snapshot.meta != chunk.meta
+    ):
+        state.incoming_snapshot = _core_state.IncomingSnapshot(chunk.meta)
+    data = state.incoming_snapshot.data
     if chunk.offset == len(data):
         data.extend(chunk.data)
     if len(data) < chunk.meta.size:
         return False
     complete = bytes(data)
-    state.incoming = None
+    state.incoming_snapshot = None
     is_whole = len(complete) == chunk.meta.size
     if not is_whole or zlib.crc32(complete) != chunk.meta.checksum:
         return False
-    _install(state, _core_types.Snapshot(chunk.meta, complete), effects)
+    _install_snapshot(
+        state, _core_types.Snapshot(chunk.meta, complete), effects
+    )
     return True
 
 
-def _install(
+def _install_snapshot(
     state: _core_state.State,
     snapshot: _core_types.Snapshot,
     effects: _core_types.Effects,
 ) -> None:
-    """Replace the state by a snapshot; keep the log that follows it."""
+    """Replace the state by a snapshot; keep log entries that follow it."""
     meta = snapshot.meta
     state.snapshot = snapshot
     if state.log.term_at(meta.index) == meta.term:
         state.log.compact(meta.index)
     else:
         state.log.reset(meta.index, meta.term)
-        state.history.truncate(0)
-    state.history.replace_base(meta.index, meta.members)
+        state.member_history.truncate(0)
+    state.member_history.replace_base(meta.index, meta.members)
     state.commit_index = meta.index
     _record_snapshot(state, effects)
     effects.committed.append(snapshot)
--- a/fulmarseam/consensus/_core_types.py
+++ b/fulmarseam/consensus/_core_types.py
@@ -13,14 +13,14 @@
 
 
 class Rng(Protocol):
-    """The random source of a replica; `random.Random` is one."""
+    """The random source of a replica, such as `random.Random`."""
 
     def uniform(self, a: float, b: float) -> float:
-        """Return a number between two bounds."""
+        """Return a random number between `a` and `b`."""
 
 
 class Role(enum.Enum):
-    """Roles of a replica."""
+    """Raft role of a replica."""
 
     FOLLOWER = 'follower'
     CANDIDATE = 'candidate'
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReplicaConfig:
-    """Identity, times in seconds and sizes of a replica.
+    """Id, times in seconds and size limits of a replica.
 
-    `keep_entries` entries stay in the log behind a snapshot, so that a
-    member that is slightly behind needs no snapshot transfer.
+    Compaction keeps the last `keep_entries` entries that the snapshot
+    covers, so that a member slightly behind needs no snapshot transfer.
     """
 
     member_id: ids.MemberId
@@ -43,17 +43,17 @@
     keep_entries: int = 1_000
     max_batch_entries: int = 1_024
     max_batch_bytes: int = 256 * 1024
-    max_in_flight: int = 8
+    max_appends_in_flight: int = 8
     chunk_bytes: int = 256 * 1024
 
     @property
     def lease_s(self) -> float:
-        """Return how long a confirmed round vouches for the leader."""
+        """Return the length of the leader lease, from the start of a round."""
         return self.election_min_s * (1.0 - self.clock_drift)
 
 
 class Snapshot(NamedTuple):
-    """A state of the machine and what it covers."""
+    """A serialized state of the state machine with its metadata."""
 
     meta: wire.SnapshotMeta
     data: bytes
@@ -62,7 +62,7 @@
 def make_snapshot(
     index: int, term: int, members: wire.GroupMembers, data: bytes
 ) -> Snapshot:
-    """Return a snapshot with its size and checksum filled in."""
+    """Return a snapshot; compute the size and checksum of `data`."""
     meta = wire.SnapshotMeta(
         index=index,
         term=term,
@@ -74,22 +74,22 @@
 
 
 class TermRecord(msgspec.Struct, tag='term', frozen=True):
-    """The current term and the vote given in it."""
+    """The current term and the vote cast in it."""
 
     term: int
     vote: ids.MemberId | None
 
 
 class EntriesRecord(msgspec.Struct, tag='entries', frozen=True):
-    """Entries that replace the log from the first of them on."""
+    """Entries to append, replacing the log from the first of them on."""
 
     entries: list[wire.LogEntry]
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True):
-    """A snapshot to save, and the log that remains beside it.
+    """A snapshot to save, and the log that remains after compaction.
 
-    The log starts after (`base_index`, `base_term`).
+    The log starts after the entry with `base_index` and `base_term`.
     """
 
     snapshot: Snapshot
@@ -105,11 +105,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class DurableState:
-    """What a replica starts from.
+    """The state read from disk with which a replica starts.
 
-    `founding` are the members before the first entry; a member that joins
-    later has none. `entries` follow `base_index`, which a snapshot covers
-    when it is not 0.
+    `initial_members` are the members before the first log entry; they are
+    empty for a member that joined later. `entries` follow `base_index`,
+    which the snapshot covers unless it is 0.
     """
 
     initial_members: wire.GroupMembers
@@ -121,8 +121,8 @@
     snapshot: Snapshot | None = None
 
 
-class Outgoing(NamedTuple):
-    """A request for another member."""
+class OutgoingRequest(NamedTuple):
+    """A request to send to another member."""
 
     to: ids.MemberId
     body: wire.ReplicaRequest
@@ -130,21 +130,22 @@
 
 @dataclasses.dataclass
 class Effects:
-    """What the driver has to do, in this order.
+    """What the driver has to do after a call, in this order.
 
     1. Write and sync `records`.
-    2. Apply `committed`; a snapshot replaces the state of the machine.
-    3. Send `reply` to the sender of the request received, and `messages`.
+    2. Apply `committed`; a snapshot replaces the whole state machine.
+    3. Send `reply` to the sender of the handled request, and `messages`.
 
     `first_index` is the index of the first command appended by `propose`,
-    and `round` the round started by `confirm`.
+    or of the entry of a membership change. `round` is the number of the
+    round started by `confirm_leadership`.
     """
 
     records: list[Record] = dataclasses.field(default_factory=list)
     committed: list[wire.LogEntry | Snapshot] = dataclasses.field(
         default_factory=list
     )
-    messages: list[Outgoing] = dataclasses.field(default_factory=list)
+    messages: list[OutgoingRequest] = dataclasses.field(default_factory=list)
     reply: wire.ReplicaResponse | None = None
     first_index: int = 0
     round: int = 0
--- a/fulmarseam/consensus/_interface.py
+++ b/fulmarseam/consensus/_interface.py
@@ -1,4 +1,4 @@
-"""Types that users of a member deal with."""
+"""Types of the public interface of a member."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -11,31 +11,31 @@
 
 
 class StateMachine(Protocol):
-    """The state that the log replicates.
+    """The state machine that the log replicates.
 
-    All methods are deterministic and are called on the event loop. A
-    command that is refused is answered by `apply` with a result; an
-    exception from `apply` ends the process.
+    All methods are deterministic and run on the event loop. `apply` returns
+    a result also for a command that it refuses; an exception from `apply`
+    ends the process.
     """
 
     def apply(self, command: bytes) -> bytes:
         """Run one committed command and return its result."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state in serialized form."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by one that `snapshot` returned."""
+        """Replace the whole state by the result of an earlier `snapshot`."""
 
 
 @dataclasses.dataclass(frozen=True)
 class DiscoverySettings:
-    """How members find each other where no list of members is given.
+    """Settings for finding the group where no list of members is given.
 
-    `seeds` are the addresses of some members, which may be out of date
-    later. The member at the first of them founds the group when
-    `first_start` is set; `wanted_voters` is the size that the group is
-    founded with and repaired to.
+    `seeds` are addresses of members; they may become outdated later. The
+    member at the first seed founds the group if `first_start` is set.
+    `wanted_voters` is the number of voters that the group is founded with
+    and that repairs restore.
     """
 
     host: ids.HostId
@@ -49,9 +49,9 @@
     """Settings of a member of the control group; times in seconds.
 
     `members` are the initial members and `address` is the address at
-    which the others reach this one. Entries of `members` also override
-    the replicated addresses. With `discovery` the members find each other
-    and the leader replaces lost ones by itself.
+    which the other members reach this one. The addresses in `members`
+    override those in the log. With `discovery`, the members find each other
+    and the leader replaces lost members without an operator.
     """
 
     member_id: ids.MemberId
@@ -71,7 +71,7 @@
     def from_control(
         cls, control: settings.ControlSettings
     ) -> 'MemberSettings':
-        """Return the member's part of the settings of the daemon."""
+        """Return the member settings from those of the control daemon."""
         return cls(
             member_id=control.member_id,
             region=control.region,
@@ -91,9 +91,9 @@
 class MemberStatus:
     """A member's view of the group.
 
-    `group` is empty while the member waits for its group. `snapshot_index`
-    is the last index covered by the newest snapshot. `match_indexes` are
-    known on the leader only.
+    `group` is empty until the member is bound to a group. `snapshot_index`
+    is the last index covered by the newest snapshot. `match_indexes` is
+    empty except on the leader.
     """
 
     member_id: ids.MemberId
--- a/fulmarseam/consensus/_repair.py
+++ b/fulmarseam/consensus/_repair.py
@@ -15,7 +15,7 @@
 
 # A voter beyond the wanted number is removed after this silence. It is
 # longer than an election (1.2 s), in which a live member may not answer.
-REPLACE_AFTER_S = 1.5
+MAX_SILENCE_S = 1.5
 
 
 class RemoveMember(NamedTuple):
@@ -33,7 +33,7 @@
 Repair = RemoveMember | AddLearner
 
 
-class Silences:
+class SilenceTracker:
     """How long the members have been silent; times in seconds.
 
     A member counts as heard when the leader first sees it, so a new member
@@ -41,33 +41,35 @@
     """
 
     def __init__(self) -> None:
-        self._heard: dict[ids.MemberId, float] = {}
+        self._last_heard_at: dict[ids.MemberId, float] = {}
 
     def clear(self) -> None:
         """Forget all members; called while another member leads."""
-        self._heard.clear()
+        self._last_heard_at.clear()
 
     def update(
-        self, now: float, answered: Mapping[ids.MemberId, float | None]
+        self, now: float, last_responses: Mapping[ids.MemberId, float | None]
     ) -> dict[ids.MemberId, float]:
-        """Return the silence of each member of `answered`."""
-        self._heard = {
-            member: max(self._heard.get(member, now), answered_at or 0.0)
-            for member, answered_at in answered.items()
+        """Return the silence of each member of `last_responses`."""
+        self._last_heard_at = {
+            member: max(
+                self._last_heard_at.get(member, now), last_response_at or 0.0
+            )
+            for member, last_response_at in last_responses.items()
         }
-        return {member: now - at for member, at in self._heard.items()}
+        return {member: now - at for member, at in self._last_heard_at.items()}
 
 
 def plan_repair(
-    me: ids.MemberId,
+    leader: ids.MemberId,
     members: wire.GroupMembers,
     silences: Mapping[ids.MemberId, float],
     candidates: Sequence[wire.MemberInfo],
     wanted_voters: int,
 ) -> Repair | None:
-    """Return the next change that the leader `me` makes, or None.
+    """Return the next change that the leader `leader` makes, or None.
 
-    `silences` holds the seconds since each member last answered. Three
+    `silences` holds the seconds since each member last last_responses. Three
     rules apply in this order: the former member of a candidate's host has
     lost its directory and is removed; a candidate is added; a member that
     is silent although there are voters enough without it is removed.
@@ -75,11 +77,11 @@
     new = [info for info in candidates if _is_new(members, info)]
     for info in new:
         for known in members.members:
-            if known.host == info.host and known.member != me:
+            if known.host == info.host and known.member != leader:
                 return RemoveMember(known.member)
     if new:
         return AddLearner(new[0])
-    return _find_surplus(me, members, silences, wanted_voters)
+    return _find_silent_member(leader, members, silences, wanted_voters)
 
 
 def _is_new(members: wire.GroupMembers, info: wire.MemberInfo) -> bool:
@@ -89,8 +91,8 @@
     )
 
 
-def _find_surplus(
-    me: ids.MemberId,
+def _find_silent_member(
+    leader: ids.MemberId,
     members: wire.GroupMembers,
     silences: Mapping[ids.MemberId, float],
     wanted_voters: int,
@@ -100,8 +102,8 @@
         (
             info
             for info in members.members
-            if info.member != me
-            and silences.get(info.member, 0.0) >= REPLACE_AFTER_S
+            if info.member != leader
+            and silences.get(info.member, 0.0) >= MAX_SILENCE_S
         ),
         key=lambda info: -silences[info.member],
     )
--- a/fulmarseam/consensus/_runtime.py
+++ b/fulmarseam/consensus/_runtime.py
@@ -18,8 +18,8 @@
 from fulmarseam.consensus import _core_types
 from fulmarseam.consensus import _interface
 from fulmarseam.consensus import _repair
+from fulmarseam.consensus import _runtime_binding
 from fulmarseam.consensus import _runtime_driver
-from fulmarseam.consensus import _runtime_group
 from fulmarseam.consensus import _runtime_inputs
 from fulmarseam.consensus import _storage
 
@@ -30,7 +30,7 @@
 # without a leader asks the others whether it was removed. Both are short
 # beside the 4 s in which a new member has to count again.
 REPAIR_INTERVAL_S = 0.1
-RETIRED_CHECK_S = 0.3
+REMOVAL_CHECK_INTERVAL_S = 0.3
 
 _log = logbook.Logger('consensus')
 
@@ -55,10 +55,10 @@
         machine: _interface.StateMachine,
     ) -> None:
         self._settings = settings
-        self._me = settings.member_id
-        self._storage = _storage.Storage(settings.data_dir, self._me)
+        self._member_id = settings.member_id
+        self._storage = _storage.Storage(settings.data_dir, self._member_id)
         self._driver = _runtime_driver.Driver(settings, machine, self._storage)
-        self._binding = _runtime_group.Binding(
+        self._binding = _runtime_binding.GroupBinding(
             settings, self._storage, self._driver.start
         )
         self._failure: Exception | None = None
@@ -79,7 +79,7 @@
         except BaseException as error:
             self._storage.close()
             if isinstance(error, _storage.StorageFailedError):
-                self._give_up_storage(error)
+                self._handle_storage_failure(error)
             raise
         self._task = asyncio.create_task(self._run())
         return self
@@ -97,24 +97,24 @@
             await self._binding.run()
             if self._settings.discovery is not None:
                 repair = asyncio.create_task(
-                    self._keep_repaired(self._settings.discovery)
+                    self._run_repairs(self._settings.discovery)
                 )
             await self._driver.run()
         except errors.FulmarseamError as error:
             self._fail(error)
         except _storage.StorageFailedError as error:
-            self._give_up_storage(error)
+            self._handle_storage_failure(error)
         except Exception as error:
             self._end_process(error)
         finally:
             if repair is not None:
                 repair.cancel()
 
-    async def _keep_repaired(
+    async def _run_repairs(
         self, discovery: _interface.DiscoverySettings
     ) -> None:
         """Replace lost members while this one leads."""
-        silences = _repair.Silences()
+        silences = _repair.SilenceTracker()
         while True:
             await asyncio.sleep(REPAIR_INTERVAL_S)
             replica = self._driver.replica
@@ -123,16 +123,16 @@
                 continue
             now = time.monotonic()
             change = _repair.plan_repair(
-                self._me,
+                self._member_id,
                 replica.members,
-                silences.update(now, replica.answer_times()),
-                self._binding.candidates.list_live(now),
+                silences.update(now, replica.last_response_times()),
+                self._binding.candidates.list_recent(now),
                 discovery.wanted_voters,
             )
             if change is not None:
-                await self._carry_out(replica, change)
+                await self._apply_repair(replica, change)
 
-    async def _carry_out(
+    async def _apply_repair(
         self, replica: _core.Replica, change: _repair.Repair
     ) -> None:
         event = 'member_added'
@@ -140,12 +140,12 @@
             match change:
                 case _repair.AddLearner(info):
                     member = info.member
-                    await self._change(
+                    await self._propose_change(
                         lambda now: replica.add_learner(now, info)
                     )
                 case _repair.RemoveMember(member):
                     event = 'member_removed'
-                    await self._change(
+                    await self._propose_change(
                         lambda now: replica.remove_member(now, member)
                     )
         except errors.FulmarseamError as error:
@@ -166,20 +166,22 @@
         sends it the log any more.
         """
         while True:
-            if await self._binding.is_retired(self._driver.replica):
+            if await self._binding.is_removed(self._driver.replica):
                 return
-            await asyncio.sleep(RETIRED_CHECK_S)
+            await asyncio.sleep(REMOVAL_CHECK_INTERVAL_S)
 
     def _fail(self, error: Exception) -> None:
         """Stop to take part and report the reason by `wait_failed`."""
         if self._failure is not None:
             return
         self._failure = error
-        self._driver.refuse_inputs()
+        self._driver.fail_pending()
         self._failed.set()
         _log.error(telemetry.format_event('member_failed', reason=str(error)))
 
-    def _give_up_storage(self, error: _storage.StorageFailedError) -> None:
+    def _handle_storage_failure(
+        self, error: _storage.StorageFailedError
+    ) -> None:
         """End the process, or only this member where its owner reopens it.
 
         Either way what the files hold is read anew before the member takes
@@ -208,32 +210,32 @@
         match message:
             case wire.IdentityRequest():
                 if message.candidate is not None:
-                    self._binding.candidates.note(
+                    self._binding.candidates.add(
                         time.monotonic(), message.candidate
                     )
                 return self._describe_identity()
             case wire.MemberRequest():
-                self._check_addressee(message)
-                body = await self._driver.take_request(
+                self._check_recipient(message)
+                body = await self._driver.queue_request(
                     message.sender, message.body
                 )
-                return wire.MemberResponse(sender=self._me, body=body)
+                return wire.MemberResponse(sender=self._member_id, body=body)
             case _:
                 raise errors.WireError(
                     f'found {type(message).__name__}, expected a message '
                     'between members'
                 )
 
-    def _check_addressee(self, message: wire.MemberRequest) -> None:
+    def _check_recipient(self, message: wire.MemberRequest) -> None:
         try:
-            self._binding.check_addressee(message)
+            self._binding.check_recipient(message)
         except errors.DamagedDataError as error:
             self._fail(error)
             if self._task is not None:
                 self._task.cancel()
             raise
         except _storage.StorageFailedError as error:
-            self._give_up_storage(error)
+            self._handle_storage_failure(error)
             raise errors.FulmarseamError(
                 errors.ErrorKind.UNAVAILABLE, str(error)
             ) from error
@@ -242,8 +244,8 @@
         founding = self._binding.identity.founding
         empty = wire.GroupMembers()
         return wire.IdentityResponse(
-            member=self._me,
-            store=self._binding.identity.store,
+            member=self._member_id,
+            store=self._binding.identity.store_id,
             group=founding.group if founding else '',
             members=self._driver.replica.members
             if self._driver.replica
@@ -270,7 +272,7 @@
             )
         queued = (
             len(self._driver.inputs.proposals)
-            + self._driver.waiters.proposal_count
+            + self._driver.pending_results.proposal_count
         )
         if queued >= _runtime_inputs.MAX_PENDING_PROPOSALS:
             raise errors.FulmarseamError(
@@ -341,8 +343,8 @@
         before or another change is in progress, and what `propose` raises.
         """
         self._require_leader()
-        store = await _runtime_group.fetch_store(
-            self._me,
+        store = await _runtime_binding.fetch_store_id(
+            self._member_id,
             self._binding.group,
             member,
             address,
@@ -356,7 +358,7 @@
             voter=False,
         )
         replica = self._require_leader()
-        await self._change(lambda now: replica.add_learner(now, info))
+        await self._propose_change(lambda now: replica.add_learner(now, info))
 
     async def remove_member(self, member: ids.MemberId) -> None:
         """Remove a member for good; its id cannot come back.
@@ -365,13 +367,15 @@
         when the voters left would not include a reachable majority.
         """
         replica = self._require_leader()
-        await self._change(lambda now: replica.remove_member(now, member))
+        await self._propose_change(
+            lambda now: replica.remove_member(now, member)
+        )
 
     def status(self) -> _interface.MemberStatus:
         """Return this member's view of the group."""
         replica = self._driver.replica
         return _interface.MemberStatus(
-            member_id=self._me,
+            member_id=self._member_id,
             group=self._binding.group,
             role=replica.role if replica else _core_types.Role.FOLLOWER,
             term=ids.Term(replica.term if replica else 0),
@@ -403,7 +407,7 @@
             raise errors.NotLeaderError(self.leader())
         return replica
 
-    async def _change(self, change: _runtime_inputs.Change) -> None:
+    async def _propose_change(self, change: _runtime_inputs.Change) -> None:
         done: asyncio.Future[None] = self._make_future()
         self._driver.inputs.changes.append(
             _runtime_inputs.ProposedChange(change, done)
--- a/fulmarseam/consensus/_runtime_group.py
+++ b/fulmarseam/consensus/_runtime_binding.py
@@ -1,4 +1,4 @@
-"""Binding of a data directory to its group at the first start."""
+"""GroupBinding of a data directory to its group at the first start."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,15 +20,15 @@
 from fulmarseam.consensus import _storage
 
 # How often the initial members are asked until this one is bound.
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 # Checks in a row, 0.3 s apart, in which no member lists this one, before it
 # takes itself for forgotten. A change under way is listed within one.
-UNLISTED_CHECKS = 4
+MAX_UNLISTED_CHECKS = 4
 
 _log = logbook.Logger('consensus')
 
 
-class Binding:
+class GroupBinding:
     """The identity of a member; `on_bound` starts the replica."""
 
     def __init__(
@@ -41,9 +41,9 @@
         self._storage = storage
         self._on_bound = on_bound
         self.identity = _core_founding.Identity(settings.member_id, '')
-        self.candidates = _discovery.Candidates()
-        self._finder: _discovery.Finder | None = None
-        self._unlisted = 0
+        self.candidates = _discovery.JoinCandidates()
+        self._finder: _discovery.GroupFinder | None = None
+        self._unlisted_checks = 0
 
     @property
     def group(self) -> str:
@@ -60,9 +60,9 @@
         if self.identity.founding is not None:
             self._on_bound(self.identity.founding)
         elif self._settings.discovery is None:
-            self._decide([])
+            self._decide_binding([])
 
-    def check_addressee(self, message: wire.MemberRequest) -> None:
+    def check_recipient(self, message: wire.MemberRequest) -> None:
         """Refuse a message for another group or another data directory.
 
         A member that joins is bound to the group that sends it the first
@@ -72,7 +72,7 @@
         """
         identity = self.identity
         if identity.founding is None:
-            if message.store == identity.store:
+            if message.store == identity.store_id:
                 self._bind_if_joining(message.group)
             elif self._settings.discovery is None:
                 raise errors.DamagedDataError(
@@ -81,12 +81,12 @@
             # Found by discovery, the message is for the former identity of
             # a host that lost its directory.
             identity = self.identity
-        if (message.group, message.store) != (self.group, identity.store):
+        if (message.group, message.store) != (self.group, identity.store_id):
             raise errors.FulmarseamError(
                 errors.ErrorKind.UNAVAILABLE,
                 f'{identity.member}: found a message for group '
                 f'{message.group}, store {message.store}, expected group '
-                f'{self.group or "none"}, store {identity.store}',
+                f'{self.group or "none"}, store {identity.store_id}',
             )
 
     def _bind_if_joining(self, group: str) -> None:
@@ -96,7 +96,7 @@
         not start without the members that the founding lists.
         """
         if self._finder is not None:
-            is_joining = self._finder.group == group
+            is_joining = self._finder.joinable_group == group
         else:
             is_joining = self._settings.join
         if is_joining:
@@ -105,7 +105,7 @@
     async def run(self) -> None:
         """Find the group and bind this member to it."""
         if self._settings.discovery is None:
-            await self._ask_initial_members()
+            await self._poll_initial_members()
         else:
             await self._discover(self._settings.discovery)
 
@@ -116,21 +116,21 @@
             member=self.identity.member,
             address=self._settings.address,
             region=self._settings.region,
-            store=self.identity.store,
+            store=self.identity.store_id,
             host=discovery.host,
         )
-        finder = _discovery.Finder(discovery, me, self.candidates)
+        finder = _discovery.GroupFinder(discovery, me, self.candidates)
         self._finder = finder
         while self.identity.founding is None:
-            answers = await finder.ask_all()
+            answers = await finder.query_all()
             founding = finder.find_founding(answers)
-            if founding is None and not finder.group:
-                founding = finder.try_to_found(answers, uuid.uuid4().hex)
+            if founding is None and not finder.joinable_group:
+                founding = finder.try_found_group(answers, uuid.uuid4().hex)
             if founding is not None and self.identity.founding is None:
                 self._bind(founding)
-            await asyncio.sleep(_discovery.ASK_INTERVAL_S)
+            await asyncio.sleep(_discovery.QUERY_INTERVAL_S)
 
-    async def _ask_initial_members(self) -> None:
+    async def _poll_initial_members(self) -> None:
         """Ask the initial members until this one is bound.
 
         Raises `errors.DamagedDataError` when the group knows this member
@@ -148,13 +148,13 @@
             ]
             while self.identity.founding is None:
                 answers = await asyncio.gather(
-                    *(self._ask(client) for client in clients)
+                    *(self._query_identity(client) for client in clients)
                 )
                 if self.identity.founding is None:
-                    self._decide([item for item in answers if item])
-                await asyncio.sleep(POLL_S)
+                    self._decide_binding([item for item in answers if item])
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def is_retired(self, replica: _core.Replica | None) -> bool:
+    async def is_removed(self, replica: _core.Replica | None) -> bool:
         """Return whether the group does without this member for good.
 
         Either it lists the member as removed, or nobody lists it at all:
@@ -166,13 +166,13 @@
         if me in replica.members.retired:
             return True
         if replica.leader is not None or self._settings.discovery is None:
-            self._unlisted = 0
+            self._unlisted_checks = 0
             return False
         addresses = {info.address for info in replica.members.members}
         addresses.update(self._settings.discovery.seeds)
         addresses.discard(self._settings.address)
         answers = await asyncio.gather(
-            *(self._ask_member(address) for address in sorted(addresses))
+            *(self._query_address(address) for address in sorted(addresses))
         )
         lists = [
             answer.members
@@ -184,16 +184,18 @@
         if not lists or any(
             _core_members.find_member(members, me) for members in lists
         ):
-            self._unlisted = 0
+            self._unlisted_checks = 0
             return False
-        self._unlisted += 1
-        return self._unlisted >= UNLISTED_CHECKS
+        self._unlisted_checks += 1
+        return self._unlisted_checks >= MAX_UNLISTED_CHECKS
 
-    async def _ask_member(self, address: str) -> wire.IdentityResponse | None:
+    async def _query_address(
+        self, address: str
+    ) -> wire.IdentityResponse | None:
         async with transport.RpcClient(address) as client:
-            return await self._ask(client)
+            return await self._query_identity(client)
 
-    async def _ask(
+    async def _query_identity(
         self, client: transport.RpcClient
     ) -> wire.IdentityResponse | None:
         try:
@@ -205,8 +207,8 @@
             return None
         return answer if isinstance(answer, wire.IdentityResponse) else None
 
-    def _decide(self, answers: list[wire.IdentityResponse]) -> None:
-        decision = _core_founding.decide(
+    def _decide_binding(self, answers: list[wire.IdentityResponse]) -> None:
+        decision = _core_founding.decide_binding(
             self.identity,
             self._settings.members,
             self._settings.join,
@@ -224,7 +226,7 @@
         self._on_bound(founding)
 
 
-async def fetch_store(
+async def fetch_store_id(
     me: ids.MemberId,
     group: str,
     member: ids.MemberId,
--- a/fulmarseam/consensus/_runtime_driver.py
+++ b/fulmarseam/consensus/_runtime_driver.py
@@ -18,7 +18,7 @@
 from fulmarseam.consensus import _storage
 
 # Log entries kept behind a snapshot, as a share of `snapshot_every`.
-KEEP_SHARE = 0.2
+KEPT_ENTRIES_SHARE = 0.2
 # Bounds the memory and the restart time of a log of large commands.
 MAX_BYTES_BEFORE_SNAPSHOT = 32 * 1024 * 1024
 
@@ -45,20 +45,20 @@
         self._settings = settings
         self._machine = machine
         self._storage = storage
-        self._me = settings.member_id
+        self._member_id = settings.member_id
         self._group = ''
-        self._members_in_use: wire.GroupMembers | None = None
-        self._peers = _runtime_peers.Peers(
-            self._me, settings.election_min_s, self._take_response
+        self._connected_members: wire.GroupMembers | None = None
+        self._peers = _runtime_peers.PeerClients(
+            self._member_id, settings.election_min_s, self._queue_response
         )
         self._wake = asyncio.Event()
         self._leadership_changed = asyncio.Event()
-        self._last_leading: ids.Term | None = None
+        self._reported_term: ids.Term | None = None
         self._stopped = False
         self._applied_bytes = 0
         self.replica: _core.Replica | None = None
-        self.inputs = _runtime_inputs.Inputs()
-        self.waiters = _runtime_inputs.Waiters()
+        self.inputs = _runtime_inputs.StepInputs()
+        self.pending_results = _runtime_inputs.PendingResults()
 
     def start(self, founding: wire.Founding) -> None:
         """Load the data directory and start the replica.
@@ -81,36 +81,36 @@
             random.SystemRandom(),
             time.monotonic(),
         )
-        self._follow_members(self.replica)
+        self._update_peer_clients(self.replica)
 
     async def run(self) -> None:
-        """Take part until cancelled; `start` comes first.
+        """Take step_effects until cancelled; `start` comes first.
 
         Raises whatever the machine or the storage raises.
         """
         while self.replica is not None:
-            await self._await_work(self.replica)
+            await self._wait_for_work(self.replica)
             self._step(self.replica)
 
     async def stop(self) -> None:
         """Fail everything that waits and close the clients."""
-        self.refuse_inputs()
+        self.fail_pending()
         await self._peers.close()
         self.replica = None
-        self._announce_leadership()
+        self._report_leadership()
 
-    def refuse_inputs(self) -> None:
+    def fail_pending(self) -> None:
         """Fail everything that waits, and take no more messages."""
         self._stopped = True
-        self.waiters.fail(None)
-        inputs, self.inputs = self.inputs, _runtime_inputs.Inputs()
-        inputs.fail(self._describe_stop())
+        self.pending_results.fail(None)
+        inputs, self.inputs = self.inputs, _runtime_inputs.StepInputs()
+        inputs.fail(self._make_stopped_error())
 
     def wake(self) -> None:
         """Handle new inputs soon."""
         self._wake.set()
 
-    def take_request(
+    def queue_request(
         self, sender: ids.MemberId, body: wire.ReplicaRequest
     ) -> asyncio.Future[wire.ReplicaResponse]:
         """Queue a request and return the future of its reply.
@@ -119,30 +119,32 @@
         overloaded.
         """
         if self._stopped:
-            raise self._describe_stop()
+            raise self._make_stopped_error()
         if len(self.inputs.messages) >= _runtime_inputs.MAX_QUEUED_MESSAGES:
             raise errors.FulmarseamError(
                 errors.ErrorKind.UNAVAILABLE,
-                f'{self._me}: found too many queued messages',
+                f'{self._member_id}: found too many queued messages',
             )
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[wire.ReplicaResponse] = loop.create_future()
         self.inputs.messages.append(
-            _runtime_inputs.Received(sender, body, reply)
+            _runtime_inputs.ReceivedMessage(sender, body, reply)
         )
         self._wake.set()
         return reply
 
-    def _take_response(
+    def _queue_response(
         self, sender: ids.MemberId, body: wire.ReplicaResponse
     ) -> None:
         if len(self.inputs.messages) < _runtime_inputs.MAX_QUEUED_MESSAGES:
-            self.inputs.messages.append(_runtime_inputs.Received(sender, body))
+            self.inputs.messages.append(
+                _runtime_inputs.ReceivedMessage(sender, body)
+            )
             self._wake.set()
 
-    def _describe_stop(self) -> errors.FulmarseamError:
+    def _make_stopped_error(self) -> errors.FulmarseamError:
         return errors.FulmarseamError(
-            errors.ErrorKind.UNAVAILABLE, f'{self._me}: has stopped'
+            errors.ErrorKind.UNAVAILABLE, f'{self._member_id}: has stopped'
         )
 
     def leading_term(self) -> ids.Term | None:
@@ -159,7 +161,7 @@
             await self._leadership_changed.wait()
         return self.leading_term()
 
-    async def _await_work(self, replica: _core.Replica) -> None:
+    async def _wait_for_work(self, replica: _core.Replica) -> None:
         """Wait for inputs or the next tick.
 
         One pass of the event loop follows, so that everything that became
@@ -177,36 +179,40 @@
 
     def _step(self, replica: _core.Replica) -> None:
         """Handle all inputs, sync once, then act on the effects."""
-        inputs, self.inputs = self.inputs, _runtime_inputs.Inputs()
+        inputs, self.inputs = self.inputs, _runtime_inputs.StepInputs()
         now = time.monotonic()
         effects: list[_core_types.Effects] = []
         replies: _Replies = []
         for received in inputs.messages:
-            self._receive(replica, now, received, effects, replies)
+            self._handle_message(replica, now, received, effects, replies)
         self._propose(replica, now, inputs.proposals, effects)
         for change in inputs.changes:
             self._propose_change(replica, now, change, effects)
-        self._confirm(replica, now, inputs.confirmations, effects)
+        self._start_confirmation(replica, now, inputs.confirmations, effects)
         if now >= replica.next_tick_at():
             effects.append(replica.tick(now))
         self._storage.write(
-            [record for part in effects for record in part.records]
+            [
+                record
+                for step_effects in effects
+                for record in step_effects.records
+            ]
         )
-        for part in effects:
-            self._apply(part.committed)
-        self._follow_members(replica)
+        for step_effects in effects:
+            self._apply(step_effects.committed)
+        self._update_peer_clients(replica)
         self._send(effects)
         for future, reply in replies:
             _runtime_inputs.resolve(future, reply)
-        self.waiters.settle(replica)
-        self._announce_leadership()
+        self.pending_results.resolve_decided(replica)
+        self._report_leadership()
         self._compact_if_due(replica)
 
-    def _receive(
+    def _handle_message(
         self,
         replica: _core.Replica,
         now: float,
-        received: _runtime_inputs.Received,
+        received: _runtime_inputs.ReceivedMessage,
         effects: list[_core_types.Effects],
         replies: _Replies,
     ) -> None:
@@ -227,17 +233,19 @@
         proposals: list[_runtime_inputs.Proposal],
         effects: list[_core_types.Effects],
     ) -> None:
-        wanted = [item for item in proposals if not item.result.done()]
-        if not wanted:
+        pending = [item for item in proposals if not item.result.done()]
+        if not pending:
             return
         try:
-            result = replica.propose(now, [item.command for item in wanted])
+            result = replica.propose(now, [item.command for item in pending])
         except errors.NotLeaderError as error:
-            for item in wanted:
+            for item in pending:
                 _runtime_inputs.reject(item.result, error)
             return
         effects.append(result)
-        self.waiters.add_proposals(replica.term, result.first_index, wanted)
+        self.pending_results.add_proposals(
+            replica.term, result.first_index, pending
+        )
 
     def _propose_change(
         self,
@@ -252,9 +260,11 @@
             _runtime_inputs.reject(change.done, error)
             return
         effects.append(result)
-        self.waiters.add_change(replica.term, result.first_index, change.done)
+        self.pending_results.add_change(
+            replica.term, result.first_index, change.done
+        )
 
-    def _confirm(
+    def _start_confirmation(
         self,
         replica: _core.Replica,
         now: float,
@@ -270,7 +280,9 @@
                 _runtime_inputs.reject(future, error)
             return
         effects.append(result)
-        self.waiters.add_confirmations(replica.term, result.round, waiting)
+        self.pending_results.add_confirmations(
+            replica.term, result.round, waiting
+        )
 
     def _apply(
         self, committed: list[wire.LogEntry | _core_types.Snapshot]
@@ -281,19 +293,19 @@
             elif item.type is wire.EntryType.COMMAND:
                 self._applied_bytes += len(item.data)
                 result = self._machine.apply(item.data)
-                self.waiters.resolve_proposal(item, result)
+                self.pending_results.resolve_proposal(item, result)
 
     def _send(self, effects: list[_core_types.Effects]) -> None:
-        for part in effects:
-            for message in part.messages:
+        for step_effects in effects:
+            for message in step_effects.messages:
                 self._peers.send(self._group, message.to, message.body)
 
-    def _follow_members(self, replica: _core.Replica) -> None:
+    def _update_peer_clients(self, replica: _core.Replica) -> None:
         """Keep clients for the members in force."""
         members = replica.members
-        if members is self._members_in_use:
+        if members is self._connected_members:
             return
-        self._members_in_use = members
+        self._connected_members = members
         configured = self._settings.members
         self._peers.update(
             {
@@ -304,18 +316,20 @@
                     info.store,
                 )
                 for info in members.members
-                if info.member != self._me
+                if info.member != self._member_id
             }
         )
 
-    def _announce_leadership(self) -> None:
+    def _report_leadership(self) -> None:
         leading = self.leading_term()
-        if leading == self._last_leading:
+        if leading == self._reported_term:
             return
         event = 'leadership_ended' if leading is None else 'leadership_started'
-        term = self._last_leading if leading is None else leading
-        _log.info(telemetry.format_event(event, member=self._me, term=term))
-        self._last_leading = leading
+        term = self._reported_term if leading is None else leading
+        _log.info(
+            telemetry.format_event(event, member=self._member_id, term=term)
+        )
+        self._reported_term = leading
         changed, self._leadership_changed = (
             self._leadership_changed,
             asyncio.Event(),
@@ -340,5 +354,5 @@
         election_min_s=settings.election_min_s,
         election_max_s=settings.election_max_s,
         clock_drift=settings.clock_drift,
-        keep_entries=int(settings.snapshot_every * KEEP_SHARE),
+        keep_entries=int(settings.snapshot_every * KEPT_ENTRIES_SHARE),
     )
--- a/fulmarseam/consensus/_runtime_inputs.py
+++ b/fulmarseam/consensus/_runtime_inputs.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class Received:
+class ReceivedMessage:
     """A message, and for a request the future of its reply."""
 
     sender: ids.MemberId
@@ -43,10 +43,10 @@
 
 
 @dataclasses.dataclass
-class Inputs:
-    """Inputs that the next step handles together."""
+class StepInputs:
+    """StepInputs that the next step handles together."""
 
-    messages: list[Received] = dataclasses.field(default_factory=list)
+    messages: list[ReceivedMessage] = dataclasses.field(default_factory=list)
     proposals: list[Proposal] = dataclasses.field(default_factory=list)
     changes: list[ProposedChange] = dataclasses.field(default_factory=list)
     confirmations: list[asyncio.Future[None]] = dataclasses.field(
@@ -87,7 +87,7 @@
         future.set_exception(error)
 
 
-class Waiters:
+class PendingResults:
     """Futures of what was appended in one term of leadership."""
 
     def __init__(self) -> None:
@@ -130,17 +130,17 @@
             if future is not None:
                 resolve(future, result)
 
-    def settle(self, replica: _core.Replica) -> None:
+    def resolve_decided(self, replica: _core.Replica) -> None:
         """Resolve what is decided; fail the rest when leadership ended."""
         if replica.term == self._term:
-            self._settle_changes(replica.commit_index)
+            self._resolve_changes(replica.commit_index)
         if replica.term == self._term and replica.leading_term is not None:
-            self._settle_rounds(replica.confirmed_round)
+            self._resolve_rounds(replica.confirmed_round)
         leads = replica.role is _core_types.Role.LEADER
         if not leads or replica.term != self._term:
             self.fail(replica.leader)
 
-    def _settle_changes(self, commit_index: int) -> None:
+    def _resolve_changes(self, commit_index: int) -> None:
         for index, future in self._changes:
             if index <= commit_index:
                 resolve(future, None)
@@ -148,7 +148,7 @@
             item for item in self._changes if item[0] > commit_index
         ]
 
-    def _settle_rounds(self, confirmed: int) -> None:
+    def _resolve_rounds(self, confirmed: int) -> None:
         for number, future in self._rounds:
             if number <= confirmed:
                 resolve(future, None)
@@ -158,9 +158,9 @@
         """Fail everything that waits."""
         uncertain = [*self._proposals.values()]
         for future in uncertain:
-            reject(future, _describe_uncertainty(leader))
+            reject(future, _make_uncertain_error(leader))
         for _, done in self._changes:
-            reject(done, _describe_uncertainty(leader))
+            reject(done, _make_uncertain_error(leader))
         for _, confirmed in self._rounds:
             reject(confirmed, errors.NotLeaderError(leader))
         self._proposals.clear()
@@ -168,7 +168,7 @@
         self._rounds.clear()
 
 
-def _describe_uncertainty(
+def _make_uncertain_error(
     leader: ids.MemberId | None,
 ) -> errors.ProposalUncertainError:
     return errors.ProposalUncertainError(
--- a/fulmarseam/consensus/_storage.py
+++ b/fulmarseam/consensus/_storage.py
@@ -87,10 +87,10 @@
         self._failed = False
         self.truncated_bytes = 0
 
-    def open(self, new_store: str) -> _core_founding.Identity:
+    def open(self, new_store_id: str) -> _core_founding.Identity:
         """Lock the directory and return its identity.
 
-        An empty directory gets the store id `new_store`.
+        An empty directory gets the store id `new_store_id`.
         """
         try:
             self._directory.mkdir(parents=True, exist_ok=True)
@@ -103,23 +103,23 @@
                 'expected a directory that this process may write to'
             ) from error
         try:
-            self._take_lock()
-            return self._read_or_make_identity(new_store)
+            self._acquire_lock()
+            return self._read_or_make_identity(new_store_id)
         except BaseException:
             self.close()
             raise
 
     def _read_or_make_identity(
-        self, new_store: str
+        self, new_store_id: str
     ) -> _core_founding.Identity:
         if self._identity_path.exists():
             return self._read_identity()
         self._require_empty()
-        identity = _core_founding.Identity(self._member, new_store)
+        identity = _core_founding.Identity(self._member, new_store_id)
         self._write_identity(identity)
         return identity
 
-    def _take_lock(self) -> None:
+    def _acquire_lock(self) -> None:
         try:
             fcntl.flock(self._lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
@@ -168,19 +168,19 @@
             _IdentityFile(
                 _storage_replay.FORMAT_VERSION,
                 identity.member,
-                identity.store,
+                identity.store_id,
                 identity.founding,
             )
         )
         checksum = f'\n{zlib.crc32(content):08x}\n'.encode()
-        self._replace(self._identity_path, [content, checksum])
+        self._replace_file(self._identity_path, [content, checksum])
 
     def bind(
         self, identity: _core_founding.Identity, founding: wire.Founding
     ) -> _core_founding.Identity:
         """Bind the directory to a group and start an empty log."""
         bound = _core_founding.Identity(
-            identity.member, identity.store, founding
+            identity.member, identity.store_id, founding
         )
         self._rewrite_log(
             [_storage_replay.LogStart(_storage_replay.FORMAT_VERSION, 0, 0)]
@@ -196,7 +196,7 @@
         self._remove_temporary_files()
         snapshot = self._load_newest_snapshot()
         data = memoryview(_storage_frames.read_file(self._log_path))
-        replay = _storage_replay.Replay(self._log_path)
+        replay = _storage_replay.LogReplay(self._log_path)
         end = 0
         for offset, payload in _storage_frames.read_frames(
             self._log_path, data
@@ -205,7 +205,7 @@
             end = offset + _storage_frames.HEADER.size + len(payload)
         self.truncated_bytes = len(data) - end
         self._open_log(end)
-        durable = replay.finish(founding.members, snapshot)
+        durable = replay.build_state(founding.members, snapshot)
         if durable.base_index != replay.base_index:
             self._rewrite_log(
                 [
@@ -220,7 +220,7 @@
         return durable
 
     def _open_log(self, end: int) -> None:
-        with self._fail_for_good():
+        with self._fail_permanently():
             self._log_file = os.open(self._log_path, os.O_RDWR)
             if self.truncated_bytes:
                 os.ftruncate(self._log_file, end)
@@ -242,7 +242,7 @@
 
     def _append(self, records: Sequence[_storage_replay.LogRecord]) -> None:
         frame = _storage_frames.make_frame(msgspec.msgpack.encode(records))
-        with self._fail_for_good():
+        with self._fail_permanently():
             _storage_frames.write_all(self._log_file, frame)
             os.fdatasync(self._log_file)
 
@@ -250,7 +250,7 @@
         meta, data = record.snapshot
         path = self._directory / f'snapshot-{meta.index:020d}'
         frame = _storage_frames.make_frame(msgspec.msgpack.encode(meta))
-        self._replace(path, [frame, data])
+        self._replace_file(path, [frame, data])
         self._rewrite_log(
             [
                 _storage_replay.LogStart(
@@ -262,7 +262,7 @@
                 _core_types.EntriesRecord(record.entries),
             ]
         )
-        with self._fail_for_good():
+        with self._fail_permanently():
             for old in self._list_snapshots():
                 if old != path:
                     old.unlink()
@@ -271,18 +271,20 @@
         self, records: Sequence[_storage_replay.LogRecord]
     ) -> None:
         frame = _storage_frames.make_frame(msgspec.msgpack.encode(records))
-        self._replace(self._log_path, [frame])
-        with self._fail_for_good():
+        self._replace_file(self._log_path, [frame])
+        with self._fail_permanently():
             if self._log_file >= 0:
                 os.close(self._log_file)
                 self._log_file = -1
             self._log_file = os.open(self._log_path, os.O_RDWR)
             os.lseek(self._log_file, 0, os.SEEK_END)
 
-    def _replace(self, path: pathlib.Path, parts: Sequence[bytes]) -> None:
+    def _replace_file(
+        self, path: pathlib.Path, parts: Sequence[bytes]
+    ) -> None:
         """Write a file so that a crash leaves the old or the new one."""
         temporary = path.with_name(f'{path.name}.tmp')
-        with self._fail_for_good():
+        with self._fail_permanently():
             flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
             file = os.open(temporary, flags, 0o600)
             try:
@@ -302,7 +304,7 @@
             os.close(directory)
 
     @contextlib.contextmanager
-    def _fail_for_good(self) -> Iterator[None]:
+    def _fail_permanently(self) -> Iterator[None]:
         if self._failed:
             raise StorageFailedError('an earlier write or sync failed')
         try:
@@ -314,7 +316,7 @@
             ) from error
 
     def _remove_temporary_files(self) -> None:
-        with self._fail_for_good():
+        with self._fail_permanently():
             for path in self._directory.glob('*.tmp'):
                 path.unlink()
 
--- a/fulmarseam/consensus/_storage_frames.py
+++ b/fulmarseam/consensus/_storage_frames.py
@@ -20,7 +20,7 @@
 )
 HEADER = struct.Struct('<II')
 # A checksum that starts at 0 would accept a run of zero bytes as frames.
-_CHECKSUM_START = 0x66756C6D
+_CHECKSUM_SEED = 0x66756C6D
 
 
 def make_frame(payload: bytes) -> bytes:
@@ -30,7 +30,7 @@
 
 
 def _compute_checksum(length: int, payload: bytes | memoryview) -> int:
-    start = zlib.crc32(length.to_bytes(4, 'little'), _CHECKSUM_START)
+    start = zlib.crc32(length.to_bytes(4, 'little'), _CHECKSUM_SEED)
     return zlib.crc32(payload, start)
 
 
@@ -76,7 +76,9 @@
         if payload is None:
             if offset > 0 and _is_torn_tail(data, offset):
                 return
-            raise describe_damage(path, offset, 'the checksum does not match')
+            raise make_damage_error(
+                path, offset, 'the checksum does not match'
+            )
         yield offset, payload
         offset += HEADER.size + len(payload)
 
@@ -86,7 +88,7 @@
     try:
         return path.read_bytes()
     except OSError as error:
-        raise describe_damage(path, 0, str(error.strerror)) from error
+        raise make_damage_error(path, 0, str(error.strerror)) from error
 
 
 def write_all(file: int, data: bytes) -> None:
@@ -96,7 +98,7 @@
         view = view[os.write(file, view) :]
 
 
-def describe_damage(
+def make_damage_error(
     path: pathlib.Path, offset: int, reason: str
 ) -> errors.DamagedDataError:
     """Return the error that names the file, the offset and the remedy."""
--- a/fulmarseam/consensus/_storage_replay.py
+++ b/fulmarseam/consensus/_storage_replay.py
@@ -25,7 +25,7 @@
 _meta_decoder = msgspec.msgpack.Decoder(wire.SnapshotMeta)
 
 
-class Replay:
+class LogReplay:
     """Puts the records of a log file together."""
 
     def __init__(self, path: pathlib.Path) -> None:
@@ -39,16 +39,16 @@
         try:
             records = _records_decoder.decode(payload)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            raise _storage_frames.describe_damage(
+            raise _storage_frames.make_damage_error(
                 self._path, offset, str(error)
             ) from error
         for record in records:
-            if not self._add(record):
-                raise _storage_frames.describe_damage(
+            if not self._apply(record):
+                raise _storage_frames.make_damage_error(
                     self._path, offset, 'the records do not fit together'
                 )
 
-    def _add(self, record: LogRecord) -> bool:
+    def _apply(self, record: LogRecord) -> bool:
         if isinstance(record, LogStart):
             is_first = self._start is None
             self._start = record
@@ -77,21 +77,21 @@
         """Return the index that the log file starts after."""
         return self._start.index if self._start else 0
 
-    def finish(
+    def build_state(
         self,
         founding: wire.GroupMembers,
         snapshot: _core_types.Snapshot | None,
     ) -> _core_types.DurableState:
         """Return the state, with the log fitted to the snapshot."""
         if self._start is None:
-            raise _storage_frames.describe_damage(
+            raise _storage_frames.make_damage_error(
                 self._path, 0, 'the file is empty'
             )
         base = (self._start.index, self._start.term)
         entries = self._entries
         covered = snapshot.meta.index if snapshot else 0
         if base[0] > covered:
-            raise _storage_frames.describe_damage(
+            raise _storage_frames.make_damage_error(
                 self._path,
                 0,
                 f'the log starts after {base[0]} but the newest snapshot '
@@ -127,17 +127,17 @@
     data = memoryview(_storage_frames.read_file(path))
     payload = _storage_frames.read_frame(data, 0)
     if payload is None:
-        raise _storage_frames.describe_damage(
+        raise _storage_frames.make_damage_error(
             path, 0, 'the checksum does not match'
         )
     try:
         meta = _meta_decoder.decode(payload)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise _storage_frames.describe_damage(path, 0, str(error)) from error
+        raise _storage_frames.make_damage_error(path, 0, str(error)) from error
     start = _storage_frames.HEADER.size + len(payload)
     state = bytes(data[start:])
     if len(state) != meta.size or zlib.crc32(state) != meta.checksum:
-        raise _storage_frames.describe_damage(
+        raise _storage_frames.make_damage_error(
             path, start, 'the checksum does not match'
         )
     return _core_types.Snapshot(meta, state)
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -24,7 +24,7 @@
 WAIT_S = 10.0
 
 
-class Machine:
+class RecordingStateMachine:
     """Keeps the commands it has applied."""
 
     def __init__(self) -> None:
@@ -48,22 +48,22 @@
 
     def __init__(self, options: consensus.MemberSettings) -> None:
         self.options = options
-        self.machine = Machine()
+        self.machine = RecordingStateMachine()
         self.member = consensus.Member(options, self.machine)
         self.exit = mock.Mock()
         self.member._exit = self.exit
         self._stack = contextlib.AsyncExitStack()
-        self.runs = False
+        self.is_running = False
 
     async def start(self) -> None:
         await self._stack.enter_async_context(self.member)
         await self._stack.enter_async_context(
             transport.RpcServer(self.options.address, self.member.handle)
         )
-        self.runs = True
+        self.is_running = True
 
     async def stop(self) -> None:
-        self.runs = False
+        self.is_running = False
         await self._stack.aclose()
 
 
@@ -88,7 +88,7 @@
 
     async def asyncTearDown(self) -> None:
         for host in self.hosts.values():
-            if host.runs:
+            if host.is_running:
                 await host.stop()
 
     async def start(self, name: str) -> Host:
@@ -131,7 +131,7 @@
         return [
             host
             for host in self.hosts.values()
-            if host.runs and host.member.leadership_age() is not None
+            if host.is_running and host.member.leadership_age() is not None
         ]
 
     async def find_leader(self) -> Host:
@@ -361,15 +361,15 @@
         store: str,
         *answers: wire.IdentityResponse,
         join: bool = False,
-    ) -> _core_founding.Decision:
+    ) -> _core_founding.BindingDecision:
         identity = _core_founding.Identity(name, store)
-        return _core_founding.decide(
+        return _core_founding.decide_binding(
             identity, self.initial, join, answers, 'new'
         )
 
     def test_group_is_founded_once_by_all(self) -> None:
         one, two = self.answer('c1'), self.answer('c2')
-        waiting = _core_founding.Decision()
+        waiting = _core_founding.BindingDecision()
         self.assertEqual(waiting, self.decide('c0', 'store-c0', one))
         self.assertEqual(
             waiting, self.decide('c1', 'store-c1', self.answer('c0'), two)
@@ -443,7 +443,9 @@
 
         server = await asyncio.start_server(swallow, '127.0.0.1', 0)
         port = server.sockets[0].getsockname()[1]
-        peers = _runtime_peers.Peers('c0', 0.05, lambda sender, body: None)
+        peers = _runtime_peers.PeerClients(
+            'c0', 0.05, lambda sender, body: None
+        )
         body = wire.VoteRequest(
             term=1, last_index=0, last_term=0, pre_vote=True
         )
--- a/tests/test_consensus_repair.py
+++ b/tests/test_consensus_repair.py
@@ -89,7 +89,7 @@
     """Guards against a new leader that finds everybody silent."""
 
     def test_silence_counts_from_the_first_look(self) -> None:
-        silences = _repair.Silences()
+        silences = _repair.SilenceTracker()
         member = ids.MemberId('b.s')
         self.assertEqual(silences.update(50.0, {member: None}), {member: 0.0})
         self.assertEqual(silences.update(52.0, {member: None}), {member: 2.0})
@@ -104,7 +104,7 @@
     def test_the_founder_waits_for_the_wanted_number(self) -> None:
         three = [make_info(host) for host in 'abc']
         five = list(FIVE.members)
-        decide = _discovery.decide_founding
+        decide = _discovery.should_found_group
         self.assertFalse(decide(1.0, 0.9, three, 5))
         self.assertTrue(decide(1.0, 0.9, five, 5))
         self.assertFalse(decide(1.0, 0.2, five, 5))
@@ -112,8 +112,8 @@
         self.assertFalse(decide(9.0, 0.9, three[:2], 5))
 
     def test_candidates_that_stop_to_ask_are_forgotten(self) -> None:
-        candidates = _discovery.Candidates()
-        candidates.note(0.0, make_info('a'))
-        candidates.note(0.8, make_info('b'))
-        live = candidates.list_live(1.5)
+        candidates = _discovery.JoinCandidates()
+        candidates.add(0.0, make_info('a'))
+        candidates.add(0.8, make_info('b'))
+        live = candidates.list_recent(1.5)
         self.assertEqual([info.host for info in live], ['b'])
--- a/tests/test_consensus_storage.py
+++ b/tests/test_consensus_storage.py
@@ -139,7 +139,7 @@
         storage = _storage.Storage(str(self.directory), 'm1')
         self.addCleanup(storage.close)
         identity = storage.open('store-2')
-        self.assertEqual('store-1', identity.store)
+        self.assertEqual('store-1', identity.store_id)
         self.assertEqual(FOUNDING, identity.founding)
 
     def test_other_member_is_refused(self) -> None:
