--- a/fulmarseam/consensus/_core_transfer.py
+++ b/fulmarseam/consensus/_core_transfer.py
@@ -14,8 +14,8 @@
 ) -> None:
     """Store a snapshot of everything committed, and compact the log."""
     index = state.commit_index
-    covered = state.snapshot.meta.index if state.snapshot else 0
-    if index <= covered:
+    snapshot_index = state.snapshot.meta.index if state.snapshot else 0
+    if index <= snapshot_index:
         return
     state.snapshot = _core_types.make_snapshot(
         index,
@@ -24,8 +24,8 @@
         data,
     )
     state.member_history.compact(index)
-    keep_from = index - state.config.keep_entries
-    state.log.compact(max(state.log.base_index, keep_from))
+    new_base_index = index - state.config.keep_entries
+    state.log.compact(max(state.log.base_index, new_base_index))
     _record_snapshot(state, effects)
 
 
--- a/fulmarseam/consensus/_discovery.py
+++ b/fulmarseam/consensus/_discovery.py
@@ -1,9 +1,9 @@
-"""Founding and joining of a group whose members nobody lists.
+"""Discovery of a group without a configured list of members.
 
-Every new member presents itself to the seeds and to the members that it
-learns of. The member at the first seed founds the group, once, at the first
-start of the system; everyone else is named by the founding or added by the
-leader.
+Every new member announces itself to the seeds and to all members it learns
+of. The member at the first seed founds the group, only at the first start of
+the system. All other members are listed in the founding record or are added
+by the leader.
 """
 
 import asyncio
@@ -20,26 +20,27 @@
 from fulmarseam.consensus import _core_members
 from fulmarseam.consensus import _interface
 
-# How often a member without a group presents itself.
+# How often a member without a group queries the addresses it knows.
 QUERY_INTERVAL_S = 0.1
 QUERY_TIMEOUT_S = 0.5
-# The founder waits this long for members beyond the wanted number, which
-# start within 0.3 s of each other.
+# The founder waits until the number of candidates has not changed for this
+# long. Members start within 0.3 s of each other, so the group also includes
+# those beyond the wanted number.
 CANDIDATES_STABLE_S = 0.6
-# The founder stops to wait for the wanted number after this time, since
-# traffic starts 10 s after the hosts.
+# After this time the founder does not wait for the wanted number any longer,
+# since traffic starts 10 s after the hosts.
 FOUNDING_MAX_WAIT_S = 4.0
-# A candidate that has not asked for this long has gone or was let in.
+# A candidate that has not asked for this long is gone or has joined.
 CANDIDATE_EXPIRY_S = 1.0
 
 _log = logbook.Logger('consensus')
 
 
 class JoinCandidates:
-    """New members that asked to be let in; times in seconds.
+    """New members that asked to join; times in seconds.
 
-    A host has one candidate: the identity that asked last is the one whose
-    directory the host has now.
+    A host has one candidate, the identity that asked last: it belongs to the
+    current data directory of the host.
     """
 
     def __init__(self) -> None:
@@ -48,11 +49,11 @@
         ] = {}
 
     def add(self, now: float, info: wire.MemberInfo) -> None:
-        """Record that a candidate has asked."""
+        """Record that a candidate has asked to join."""
         self._latest_by_host[info.host] = (now, info)
 
     def list_recent(self, now: float) -> list[wire.MemberInfo]:
-        """Return the candidates that asked lately, by host."""
+        """Return the candidates that asked recently, sorted by host."""
         for host, (seen_at, _) in list(self._latest_by_host.items()):
             if now - seen_at > CANDIDATE_EXPIRY_S:
                 del self._latest_by_host[host]
@@ -65,11 +66,11 @@
     candidates: list[wire.MemberInfo],
     wanted_voters: int,
 ) -> bool:
-    """Return whether the founder has the members to found a group with.
+    """Return whether there are enough candidates to found a group.
 
-    `unchanged_s` is the time since the last new candidate was seen. After
-    `FOUNDING_MAX_WAIT_S` more than half of the wanted number are enough; the
-    others join later.
+    `unchanged_s` is the time since the number of candidates last changed.
+    After `FOUNDING_MAX_WAIT_S`, more than half of the wanted number is
+    enough; the others join later.
     """
     if unchanged_s < CANDIDATES_STABLE_S:
         return False
@@ -80,11 +81,11 @@
 
 
 class GroupFinder:
-    """Looks for the group of a new member.
+    """Searches for the group of a new member.
 
-    `find` returns when the group is known: with a founding that names the
-    member, or, for a member that the leader is to add, with one without
-    members once the group has answered.
+    The search ends with a founding record that lists the member. For a
+    member that the founding does not list it ends with `joinable_group`, the
+    group whose leader is to add it.
     """
 
     def __init__(
@@ -101,36 +102,36 @@
         self._started_at = time.monotonic()
         self._count_changed_at = self._started_at
         self._candidate_count = 0
-        # The group whose leader may add this member.
+        # Id of the group whose leader may add this member, or empty.
         self.joinable_group = ''
 
     @property
     def is_founder(self) -> bool:
-        """Return whether this member founds the group."""
+        """Return whether this member is the one that founds the group."""
         seeds = self._discovery.seeds
         return self._discovery.first_start and (
             bool(seeds) and seeds[0] == self._own_info.address
         )
 
     async def query_all(self) -> list[wire.IdentityResponse]:
-        """Present this member to every known address."""
+        """Announce this member to every known address; return the answers."""
         answers = await asyncio.gather(
             *(self._query(address) for address in sorted(self._addresses))
         )
-        found = [answer for answer in answers if answer is not None]
-        for answer in found:
+        received = [answer for answer in answers if answer is not None]
+        for answer in received:
             for info in answer.members.members:
                 if info.address != self._own_info.address:
                     self._addresses.add(info.address)
-        return found
+        return received
 
     async def _query(self, address: str) -> wire.IdentityResponse | None:
         request = wire.IdentityRequest(
             sender=self._own_info.member, candidate=self._own_info
         )
         with contextlib.suppress(errors.FulmarseamError):
-            # An address that does not answer is asked again, which the
-            # interval of the questions bounds.
+            # An address that does not answer is queried again after
+            # QUERY_INTERVAL_S.
             async with transport.RpcClient(address) as client:
                 answer = await client.call(request, QUERY_TIMEOUT_S)
             if isinstance(answer, wire.IdentityResponse):
@@ -140,18 +141,19 @@
     def find_founding(
         self, answers: list[wire.IdentityResponse]
     ) -> wire.Founding | None:
-        """Return the founding that names this member, if one does.
+        """Return the founding record that lists this member, or None.
 
-        Otherwise `joinable_group` is set as soon as a group has answered.
+        If a group answers whose founding does not list this member, it
+        becomes `joinable_group`.
         """
         for answer in answers:
             founding = answer.founding
             if not answer.group or founding is None:
                 continue
-            known = _core_members.find_member(
+            info = _core_members.find_member(
                 founding.members, self._own_info.member
             )
-            if known is not None and known.store == self._own_info.store:
+            if info is not None and info.store == self._own_info.store:
                 return founding
             self.joinable_group = answer.group
         return None
@@ -159,7 +161,7 @@
     def try_found_group(
         self, answers: list[wire.IdentityResponse], new_group: str
     ) -> wire.Founding | None:
-        """Return a new group when this member may found one now."""
+        """Return the founding of a new group if this member may found it."""
         if not self.is_founder or any(answer.group for answer in answers):
             return None
         now = time.monotonic()
--- a/fulmarseam/consensus/_repair.py
+++ b/fulmarseam/consensus/_repair.py
@@ -1,8 +1,8 @@
 """Replacement of lost members without an operator.
 
-A data directory gets a new member id, so a wiped member never comes back
-under its former identity: it asks the group to let it in as a new member,
-and the leader exchanges the two.
+Each new data directory gets a new member id, so a wiped member never comes
+back under its former id. It asks to join as a new member, and the leader
+replaces the former member by it.
 """
 
 from collections.abc import Mapping
@@ -13,19 +13,20 @@
 from fulmarseam import wire
 from fulmarseam.consensus import _core_members
 
-# A voter beyond the wanted number is removed after this silence. It is
-# longer than an election (1.2 s), in which a live member may not answer.
+# A learner, or a voter beyond the wanted number, is removed if it has not
+# answered for this long. It is longer than an election (1.2 s), during which
+# a live member may not answer.
 MAX_SILENCE_S = 1.5
 
 
 class RemoveMember(NamedTuple):
-    """The leader removes a member for good."""
+    """A change that removes a member permanently."""
 
     member: ids.MemberId
 
 
 class AddLearner(NamedTuple):
-    """The leader adds a candidate, which becomes a voter by itself."""
+    """A change that adds a candidate; it becomes a voter when caught up."""
 
     info: wire.MemberInfo
 
@@ -34,30 +35,34 @@
 
 
 class SilenceTracker:
-    """How long the members have been silent; times in seconds.
+    """Tracks how long ago each member last answered; times in seconds.
 
-    A member counts as heard when the leader first sees it, so a new member
-    or a new leader does not find everyone silent.
+    The silence of a member starts at its first update at the earliest, so
+    that a new leader does not count every member as silent, and a new member
+    does not count as silent either.
     """
 
     def __init__(self) -> None:
         self._last_heard_at: dict[ids.MemberId, float] = {}
 
     def clear(self) -> None:
-        """Forget all members; called while another member leads."""
+        """Forget all members; called while this member does not lead."""
         self._last_heard_at.clear()
 
     def update(
         self, now: float, last_responses: Mapping[ids.MemberId, float | None]
     ) -> dict[ids.MemberId, float]:
-        """Return the silence of each member of `last_responses`."""
+        """Return the silence of each member in `last_responses`."""
         self._last_heard_at = {
             member: max(
                 self._last_heard_at.get(member, now), last_response_at or 0.0
             )
             for member, last_response_at in last_responses.items()
         }
-        return {member: now - at for member, at in self._last_heard_at.items()}
+        return {
+            member: now - heard_at
+            for member, heard_at in self._last_heard_at.items()
+        }
 
 
 def plan_repair(
@@ -67,20 +72,24 @@
     candidates: Sequence[wire.MemberInfo],
     wanted_voters: int,
 ) -> Repair | None:
-    """Return the next change that the leader `leader` makes, or None.
+    """Return the next change that `leader` should make, or None.
+
+    `silences` holds the seconds since each member last answered. Three rules
+    apply, in this order:
 
-    `silences` holds the seconds since each member last last_responses. Three
-    rules apply in this order: the former member of a candidate's host has
-    lost its directory and is removed; a candidate is added; a member that
-    is silent although there are voters enough without it is removed.
+    1. Remove the former member of a candidate's host, as it has lost its
+       directory.
+    2. Add a candidate.
+    3. Remove a silent learner, or a silent voter if there are more voters
+       than wanted.
     """
-    new = [info for info in candidates if _is_new(members, info)]
-    for info in new:
-        for known in members.members:
-            if known.host == info.host and known.member != leader:
-                return RemoveMember(known.member)
-    if new:
-        return AddLearner(new[0])
+    new_members = [info for info in candidates if _is_new(members, info)]
+    for info in new_members:
+        for former in members.members:
+            if former.host == info.host and former.member != leader:
+                return RemoveMember(former.member)
+    if new_members:
+        return AddLearner(new_members[0])
     return _find_silent_member(leader, members, silences, wanted_voters)
 
 
--- a/fulmarseam/consensus/_runtime.py
+++ b/fulmarseam/consensus/_runtime.py
@@ -1,4 +1,4 @@
-"""A member: the replica connected to files, clock and transport."""
+"""A member, which connects a replica to files, clock and transport."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,12 +23,12 @@
 from fulmarseam.consensus import _runtime_inputs
 from fulmarseam.consensus import _storage
 
-# Larger commands would hold up heartbeats while they are sent.
+# Sending a larger command would delay heartbeats.
 MAX_COMMAND_BYTES = 4 * 1024 * 1024
 
-# How often the leader looks for members to replace, and how often a member
+# How often the leader checks for members to replace, and how often a member
 # without a leader asks the others whether it was removed. Both are short
-# beside the 4 s in which a new member has to count again.
+# compared with the 4 s within which a replacement has to become a voter.
 REPAIR_INTERVAL_S = 0.1
 REMOVAL_CHECK_INTERVAL_S = 0.3
 
@@ -41,34 +41,37 @@
     The owner serves RPC on the member's address and passes the messages
     of `PEER_MESSAGES` to `handle`; the member calls its peers itself::
 
-        member = consensus.Member(settings, machine)
+        member = consensus.Member(settings, state_machine)
         async with member, transport.RpcServer(address, member.handle):
             result = await member.propose(b'command')
 
-    The first start of a group waits until all initial members are up. An
-    exception from the machine, or a failed write or sync, ends the process.
+    At the first start the group waits until all initial members are up. An
+    exception from the state machine, or a failed write or sync, ends the
+    process; with `discovery`, a failed write or sync ends only the member.
     """
 
     def __init__(
         self,
         settings: _interface.MemberSettings,
-        machine: _interface.StateMachine,
+        state_machine: _interface.StateMachine,
     ) -> None:
         self._settings = settings
         self._member_id = settings.member_id
         self._storage = _storage.Storage(settings.data_dir, self._member_id)
-        self._driver = _runtime_driver.Driver(settings, machine, self._storage)
+        self._driver = _runtime_driver.Driver(
+            settings, state_machine, self._storage
+        )
         self._binding = _runtime_binding.GroupBinding(
             settings, self._storage, self._driver.start
         )
         self._failure: Exception | None = None
         self._failed = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        # Replaced by tests, which must outlive a failed sync.
+        # Tests replace this, since they must survive a failed sync.
         self._exit: Callable[[int], Any] = os._exit
 
     async def __aenter__(self) -> Self:
-        """Read the data directory and start to take part.
+        """Read the data directory and start to take part in the group.
 
         Raises `errors.DamagedDataError` when the directory cannot be used,
         and `errors.FulmarseamError` with `UNAVAILABLE` when another process
@@ -113,7 +116,7 @@
     async def _run_repairs(
         self, discovery: _interface.DiscoverySettings
     ) -> None:
-        """Replace lost members while this one leads."""
+        """Replace lost members while this member leads."""
         silences = _repair.SilenceTracker()
         while True:
             await asyncio.sleep(REPAIR_INTERVAL_S)
@@ -149,7 +152,7 @@
                         lambda now: replica.remove_member(now, member)
                     )
         except errors.FulmarseamError as error:
-            # Tried again with the next plan, which sees the new state.
+            # The next plan, made from the new state, tries again.
             event = 'member_change_refused'
             _log.info(
                 telemetry.format_event(
@@ -160,10 +163,10 @@
         _log.info(telemetry.format_event(event, member=member))
 
     async def wait_removed(self) -> None:
-        """Return when the group has removed this member for good.
+        """Return when the group has permanently removed this member.
 
-        A member that was cut off learns of it from the others, as nobody
-        sends it the log any more.
+        A removed member receives no log any more, so it asks the others
+        whether it was removed.
         """
         while True:
             if await self._binding.is_removed(self._driver.replica):
@@ -171,7 +174,7 @@
             await asyncio.sleep(REMOVAL_CHECK_INTERVAL_S)
 
     def _fail(self, error: Exception) -> None:
-        """Stop to take part and report the reason by `wait_failed`."""
+        """Stop taking part and report the reason through `wait_failed`."""
         if self._failure is not None:
             return
         self._failure = error
@@ -182,10 +185,11 @@
     def _handle_storage_failure(
         self, error: _storage.StorageFailedError
     ) -> None:
-        """End the process, or only this member where its owner reopens it.
+        """End the process, or with `discovery` only this member.
 
-        Either way what the files hold is read anew before the member takes
-        part again, and what was not synced counts as never written.
+        With `discovery` the owner opens the member again. In both cases the
+        files are read again before the member takes part again, and data
+        that was not synced counts as never written.
         """
         if self._settings.discovery is None:
             self._end_process(error)
@@ -193,7 +197,7 @@
             self._fail(error)
 
     def _end_process(self, error: Exception) -> None:
-        """End the process at once, without clean-up that may write."""
+        """End the process at once, without cleanup that could write."""
         _log.critical(
             telemetry.format_event('process_ended', reason=repr(error))
         )
@@ -202,7 +206,7 @@
         self._exit(errors.ANSWERS[errors.ErrorKind.INTERNAL].exit_code)
 
     async def handle(self, message: wire.Message) -> wire.Message:
-        """Answer a message of another member; see `PEER_MESSAGES`.
+        """Answer a message of a type in `PEER_MESSAGES`.
 
         Raises `errors.FulmarseamError` for a message that cannot be
         answered, which the RPC server turns into `wire.Failure`.
@@ -256,12 +260,12 @@
     async def propose(self, command: bytes) -> bytes:
         """Append a command and return the result of applying it.
 
-        Raises `errors.NotLeaderError` when nothing was appended,
-        `errors.ProposalUncertainError` when the entry may still be
-        committed, and `errors.FulmarseamError`, with nothing appended, of
-        kind `UNAVAILABLE` when too many proposals are pending and
-        `BODY_TOO_LARGE` when the command exceeds `MAX_COMMAND_BYTES`. A
-        caller that stops waiting does not withdraw the command.
+        Raises `errors.NotLeaderError` if nothing was appended,
+        `errors.ProposalUncertainError` if the entry may still be committed,
+        and `errors.FulmarseamError`, with nothing appended, of kind
+        `UNAVAILABLE` if too many proposals are pending and of kind
+        `BODY_TOO_LARGE` if the command exceeds `MAX_COMMAND_BYTES`.
+        Cancelling the call does not withdraw the command.
         """
         replica = self._require_leader()
         if len(command) > MAX_COMMAND_BYTES:
@@ -278,7 +282,7 @@
             raise errors.FulmarseamError(
                 errors.ErrorKind.UNAVAILABLE,
                 f'found {queued} pending proposals in term {replica.term}, '
-                'expected fewer',
+                'expected fewer than the limit',
             )
         result: asyncio.Future[bytes] = self._make_future()
         self._driver.inputs.proposals.append(
@@ -288,41 +292,41 @@
         return await result
 
     def leader(self) -> ids.MemberId | None:
-        """Return the leader that this member knows of."""
+        """Return the leader of the current term, or None if unknown."""
         return self._driver.replica.leader if self._driver.replica else None
 
     def leading_term(self) -> ids.Term | None:
         """Return the term that this member leads, or None.
 
-        It is set only after the first entry of the term was applied, so
-        the machine then holds every accepted command.
+        It is set only after the first entry of the term was applied, when
+        the state machine has every accepted command.
         """
         return self._driver.leading_term()
 
     async def wait_leadership_change(
-        self, known: ids.Term | None
+        self, previous: ids.Term | None
     ) -> ids.Term | None:
-        """Return `leading_term` as soon as it differs from `known`::
+        """Wait until `leading_term` differs from `previous`; return it::
 
         term = None
         while True:
             term = await member.wait_leadership_change(term)
         """
-        return await self._driver.wait_leadership_change(known)
+        return await self._driver.wait_leadership_change(previous)
 
     def leadership_age(self) -> float | None:
         """Return the seconds since a majority last confirmed this leader.
 
-        They count from the start of the last round that a majority
-        answered. None when not leading, when no entry of the own term was
-        applied yet, or when older than the leader lease.
+        The time counts from the start of the last round that a majority
+        answered. None if this member does not lead, if no entry of its term
+        was applied yet, or if the time exceeds the leader lease.
         """
         if self._driver.replica is None:
             return None
         return self._driver.replica.leadership_age(time.monotonic())
 
     async def confirm_leadership(self) -> None:
-        """Wait for a round that starts now and that a majority answers.
+        """Start a round and wait until a majority has answered it.
 
         Raises `errors.NotLeaderError` when this member does not lead.
         """
@@ -337,10 +341,10 @@
     ) -> None:
         """Add a member with an empty data directory as a learner.
 
-        Returns when the group has accepted the learner. It becomes a voter
-        by itself when it has caught up; see `status`. Raises
-        `errors.FulmarseamError` with `INVALID_EDIT` when the id was used
-        before or another change is in progress, and what `propose` raises.
+        Returns when the change is committed. The learner becomes a voter
+        when it has caught up; see `status`. Raises `errors.FulmarseamError`
+        with `INVALID_EDIT` if the id was used before or another change is in
+        progress, and the errors of `propose`.
         """
         self._require_leader()
         store = await _runtime_binding.fetch_store_id(
@@ -361,10 +365,10 @@
         await self._propose_change(lambda now: replica.add_learner(now, info))
 
     async def remove_member(self, member: ids.MemberId) -> None:
-        """Remove a member for good; its id cannot come back.
+        """Remove a member permanently; its id cannot be used again.
 
-        Raises what `add_member` raises, and refuses with `INVALID_EDIT`
-        when the voters left would not include a reachable majority.
+        Raises the errors of `add_member`, also `INVALID_EDIT` if no majority
+        of the remaining voters is reachable.
         """
         replica = self._require_leader()
         await self._propose_change(
@@ -389,10 +393,11 @@
         )
 
     async def wait_failed(self) -> None:
-        """Wait until the member cannot go on, and raise the reason.
+        """Wait until the member has failed, and raise the reason.
 
-        A daemon runs this beside its work and ends with the error. A
-        failed write or sync is not reported here: it ends the process.
+        A daemon awaits this in the background and ends with the error. A
+        failed write or sync is reported here only with `discovery`;
+        otherwise it ends the process.
         """
         await self._failed.wait()
         if self._failure is not None:
--- a/fulmarseam/consensus/_runtime_binding.py
+++ b/fulmarseam/consensus/_runtime_binding.py
@@ -1,4 +1,4 @@
-"""GroupBinding of a data directory to its group at the first start."""
+"""Binding of a data directory to its group at the first start."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,17 +19,18 @@
 from fulmarseam.consensus import _interface
 from fulmarseam.consensus import _storage
 
-# How often the initial members are asked until this one is bound.
+# How often an unbound member queries the initial members.
 POLL_INTERVAL_S = 0.1
-# Checks in a row, 0.3 s apart, in which no member lists this one, before it
-# takes itself for forgotten. A change under way is listed within one.
+# A member considers itself removed after this many consecutive checks, 0.3 s
+# apart, in which no other member lists it. A change in progress is listed
+# within one check.
 MAX_UNLISTED_CHECKS = 4
 
 _log = logbook.Logger('consensus')
 
 
 class GroupBinding:
-    """The identity of a member; `on_bound` starts the replica."""
+    """Finds the group of a member; `on_bound` then starts the replica."""
 
     def __init__(
         self,
@@ -47,12 +48,12 @@
 
     @property
     def group(self) -> str:
-        """Return the id of the group, or an empty text."""
+        """Return the id of the group, or an empty string if unbound."""
         founding = self.identity.founding
         return founding.group if founding else ''
 
     def open(self) -> None:
-        """Read the identity; a bound member, or a group of one, starts.
+        """Read the identity; start a bound member or a group of one member.
 
         Raises `errors.DamagedDataError`.
         """
@@ -65,10 +66,10 @@
     def check_recipient(self, message: wire.MemberRequest) -> None:
         """Refuse a message for another group or another data directory.
 
-        A member that joins is bound to the group that sends it the first
-        message. Raises `errors.DamagedDataError` when the group knows this
-        member by a directory that is lost, and `errors.FulmarseamError`
-        with `UNAVAILABLE` otherwise.
+        The first message that a joining member receives binds it to the
+        sender's group. Raises `errors.DamagedDataError` if the group knows
+        this member by a directory that is lost, and `errors.FulmarseamError`
+        with `UNAVAILABLE` in other cases.
         """
         identity = self.identity
         if identity.founding is None:
@@ -78,8 +79,8 @@
                 raise errors.DamagedDataError(
                     _core_founding.describe_refusal(identity)
                 )
-            # Found by discovery, the message is for the former identity of
-            # a host that lost its directory.
+            # With discovery, such a message is meant for the former member
+            # of a host that has lost its directory.
             identity = self.identity
         if (message.group, message.store) != (self.group, identity.store_id):
             raise errors.FulmarseamError(
@@ -90,10 +91,10 @@
             )
 
     def _bind_if_joining(self, group: str) -> None:
-        """Bind this member to a group whose leader has added it.
+        """Bind this member, if it is joining, to the group that added it.
 
-        A member that is still to learn of a founding that names it must
-        not start without the members that the founding lists.
+        A member that the founding record lists must not start before it has
+        received that record with its members.
         """
         if self._finder is not None:
             is_joining = self._finder.joinable_group == group
@@ -131,14 +132,14 @@
             await asyncio.sleep(_discovery.QUERY_INTERVAL_S)
 
     async def _poll_initial_members(self) -> None:
-        """Ask the initial members until this one is bound.
+        """Query the initial members until this member is bound.
 
         Raises `errors.DamagedDataError` when the group knows this member
         by another data directory.
         """
         addresses = [
-            place.address
-            for member, place in self._settings.members.items()
+            location.address
+            for member, location in self._settings.members.items()
             if member != self.identity.member
         ]
         async with contextlib.AsyncExitStack() as stack:
@@ -155,10 +156,11 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def is_removed(self, replica: _core.Replica | None) -> bool:
-        """Return whether the group does without this member for good.
+        """Return whether this member is permanently out of the group.
 
-        Either it lists the member as removed, or nobody lists it at all:
-        the change that added it was lost with the leader that proposed it.
+        Either the group lists it as removed, or no member lists it at all,
+        because the change that added it was lost with the leader that
+        proposed it.
         """
         if replica is None:
             return False
@@ -174,15 +176,15 @@
         answers = await asyncio.gather(
             *(self._query_address(address) for address in sorted(addresses))
         )
-        lists = [
+        member_lists = [
             answer.members
             for answer in answers
             if answer is not None and answer.group == self.group
         ]
-        if any(me in members.retired for members in lists):
+        if any(me in members.retired for members in member_lists):
             return True
-        if not lists or any(
-            _core_members.find_member(members, me) for members in lists
+        if not member_lists or any(
+            _core_members.find_member(members, me) for members in member_lists
         ):
             self._unlisted_checks = 0
             return False
@@ -233,16 +235,16 @@
     address: str,
     timeout_s: float,
 ) -> str:
-    """Return the store id of a member that wants to join the group.
+    """Return the store id of a member that is to join the group.
 
     Raises `errors.TransportError`, or `errors.FulmarseamError` with
-    `INVALID_EDIT` when another member or one of another group answers.
+    `INVALID_EDIT` if another member or a member of another group answers.
     """
     async with transport.RpcClient(address) as client:
         answer = await client.call(wire.IdentityRequest(sender=me), timeout_s)
     if not isinstance(answer, wire.IdentityResponse):
         raise errors.TransportError(
-            f'{address}: found no member of a control group'
+            f'{address}: found no member of a control group, expected one'
         )
     if answer.member != member or answer.group not in ('', group):
         raise errors.FulmarseamError(
--- a/fulmarseam/consensus/_runtime_driver.py
+++ b/fulmarseam/consensus/_runtime_driver.py
@@ -1,4 +1,4 @@
-"""Drives a replica: batches inputs, syncs, applies and sends."""
+"""Drives a replica: batches inputs, syncs, applies commands and sends."""
 
 import asyncio
 import random
@@ -17,9 +17,9 @@
 from fulmarseam.consensus import _runtime_peers
 from fulmarseam.consensus import _storage
 
-# Log entries kept behind a snapshot, as a share of `snapshot_every`.
+# Log entries that compaction keeps, as a share of `snapshot_every`.
 KEPT_ENTRIES_SHARE = 0.2
-# Bounds the memory and the restart time of a log of large commands.
+# Bounds the memory use and restart time for a log with large commands.
 MAX_BYTES_BEFORE_SNAPSHOT = 32 * 1024 * 1024
 
 _log = logbook.Logger('consensus')
@@ -32,18 +32,18 @@
 class Driver:
     """Runs the replica of a member that is bound to a group.
 
-    `replica` is None until `start`. All inputs that are ready at the same
-    time share one step and one sync.
+    `replica` is None until `start`. Inputs that are ready at the same time
+    are handled in one step with one sync.
     """
 
     def __init__(
         self,
         settings: _interface.MemberSettings,
-        machine: _interface.StateMachine,
+        state_machine: _interface.StateMachine,
         storage: _storage.Storage,
     ) -> None:
         self._settings = settings
-        self._machine = machine
+        self._state_machine = state_machine
         self._storage = storage
         self._member_id = settings.member_id
         self._group = ''
@@ -73,7 +73,7 @@
                 )
             )
         if durable.snapshot is not None:
-            self._machine.restore(durable.snapshot.data)
+            self._state_machine.restore(durable.snapshot.data)
         self._group = founding.group
         self.replica = _core.Replica(
             _make_config(self._settings),
@@ -84,30 +84,30 @@
         self._update_peer_clients(self.replica)
 
     async def run(self) -> None:
-        """Take step_effects until cancelled; `start` comes first.
+        """Run the replica until cancelled; call `start` before.
 
-        Raises whatever the machine or the storage raises.
+        Raises any error of the state machine or the storage.
         """
         while self.replica is not None:
             await self._wait_for_work(self.replica)
             self._step(self.replica)
 
     async def stop(self) -> None:
-        """Fail everything that waits and close the clients."""
+        """Fail all pending inputs and results, and close the clients."""
         self.fail_pending()
         await self._peers.close()
         self.replica = None
         self._report_leadership()
 
     def fail_pending(self) -> None:
-        """Fail everything that waits, and take no more messages."""
+        """Fail all pending inputs and results; refuse further messages."""
         self._stopped = True
         self.pending_results.fail(None)
         inputs, self.inputs = self.inputs, _runtime_inputs.StepInputs()
         inputs.fail(self._make_stopped_error())
 
     def wake(self) -> None:
-        """Handle new inputs soon."""
+        """Start the next step, after inputs were added."""
         self._wake.set()
 
     def queue_request(
@@ -115,15 +115,15 @@
     ) -> asyncio.Future[wire.ReplicaResponse]:
         """Queue a request and return the future of its reply.
 
-        Raises `errors.FulmarseamError` with `UNAVAILABLE` when stopped or
-        overloaded.
+        Raises `errors.FulmarseamError` with `UNAVAILABLE` if the driver is
+        stopped or too many messages are queued.
         """
         if self._stopped:
             raise self._make_stopped_error()
         if len(self.inputs.messages) >= _runtime_inputs.MAX_QUEUED_MESSAGES:
             raise errors.FulmarseamError(
                 errors.ErrorKind.UNAVAILABLE,
-                f'{self._member_id}: found too many queued messages',
+                f'{self._member_id}: too many messages are queued',
             )
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[wire.ReplicaResponse] = loop.create_future()
@@ -144,28 +144,32 @@
 
     def _make_stopped_error(self) -> errors.FulmarseamError:
         return errors.FulmarseamError(
-            errors.ErrorKind.UNAVAILABLE, f'{self._member_id}: has stopped'
+            errors.ErrorKind.UNAVAILABLE,
+            f'{self._member_id}: the member has stopped',
         )
 
     def leading_term(self) -> ids.Term | None:
-        """Return the term led, once an entry of it was applied."""
+        """Return the term that this member leads, or None.
+
+        It is set once an entry of the term was applied.
+        """
         if self.replica is None or self.replica.leading_term is None:
             return None
         return ids.Term(self.replica.leading_term)
 
     async def wait_leadership_change(
-        self, known: ids.Term | None
+        self, previous: ids.Term | None
     ) -> ids.Term | None:
-        """Return `leading_term` as soon as it differs from `known`."""
-        while self.leading_term() == known:
+        """Wait until `leading_term` differs from `previous`; return it."""
+        while self.leading_term() == previous:
             await self._leadership_changed.wait()
         return self.leading_term()
 
     async def _wait_for_work(self, replica: _core.Replica) -> None:
         """Wait for inputs or the next tick.
 
-        One pass of the event loop follows, so that everything that became
-        ready meanwhile shares the next sync.
+        Then let the event loop run once, so that everything that became
+        ready in the meantime shares the next sync.
         """
         delay = replica.next_tick_at() - time.monotonic()
         if delay > 0 and not self.inputs.has_any():
@@ -178,7 +182,7 @@
         await asyncio.sleep(0)
 
     def _step(self, replica: _core.Replica) -> None:
-        """Handle all inputs, sync once, then act on the effects."""
+        """Handle all inputs, sync once, then carry out the effects."""
         inputs, self.inputs = self.inputs, _runtime_inputs.StepInputs()
         now = time.monotonic()
         effects: list[_core_types.Effects] = []
@@ -289,10 +293,10 @@
     ) -> None:
         for item in committed:
             if isinstance(item, _core_types.Snapshot):
-                self._machine.restore(item.data)
+                self._state_machine.restore(item.data)
             elif item.type is wire.EntryType.COMMAND:
                 self._applied_bytes += len(item.data)
-                result = self._machine.apply(item.data)
+                result = self._state_machine.apply(item.data)
                 self.pending_results.resolve_proposal(item, result)
 
     def _send(self, effects: list[_core_types.Effects]) -> None:
@@ -301,7 +305,7 @@
                 self._peers.send(self._group, message.to, message.body)
 
     def _update_peer_clients(self, replica: _core.Replica) -> None:
-        """Keep clients for the members in force."""
+        """Keep a client for each other member of the group."""
         members = replica.members
         if members is self._connected_members:
             return
@@ -337,11 +341,11 @@
         changed.set()
 
     def _compact_if_due(self, replica: _core.Replica) -> None:
-        behind = replica.commit_index - replica.snapshot_index
+        entries_since = replica.commit_index - replica.snapshot_index
         is_large = self._applied_bytes >= MAX_BYTES_BEFORE_SNAPSHOT
-        if is_large or behind >= self._settings.snapshot_every:
+        if is_large or entries_since >= self._settings.snapshot_every:
             self._applied_bytes = 0
-            effects = replica.compact(self._machine.snapshot())
+            effects = replica.compact(self._state_machine.snapshot())
             self._storage.write(effects.records)
 
 
--- a/fulmarseam/consensus/_runtime_inputs.py
+++ b/fulmarseam/consensus/_runtime_inputs.py
@@ -1,4 +1,4 @@
-"""What waits for the next step of a member, and for its outcome."""
+"""Inputs of the next step of a member, and results that are pending."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass
 class ReceivedMessage:
-    """A message, and for a request the future of its reply."""
+    """A received message; for a request with the future of its reply."""
 
     sender: ids.MemberId
     body: wire.ReplicaMessage
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass
 class StepInputs:
-    """StepInputs that the next step handles together."""
+    """Inputs that the next step handles together."""
 
     messages: list[ReceivedMessage] = dataclasses.field(default_factory=list)
     proposals: list[Proposal] = dataclasses.field(default_factory=list)
@@ -54,7 +54,7 @@
     )
 
     def has_any(self) -> bool:
-        """Return whether there is something to handle."""
+        """Return whether any input is queued."""
         return bool(
             self.messages
             or self.proposals
@@ -63,7 +63,7 @@
         )
 
     def fail(self, error: errors.FulmarseamError) -> None:
-        """Fail everything that was queued."""
+        """Fail the futures of all queued inputs."""
         for received in self.messages:
             if received.reply is not None:
                 reject(received.reply, error)
@@ -76,19 +76,19 @@
 
 
 def resolve(future: asyncio.Future[Any], result: Any) -> None:
-    """Set a result unless the waiting task is gone."""
+    """Set the result unless the future is already done or cancelled."""
     if not future.done():
         future.set_result(result)
 
 
 def reject(future: asyncio.Future[Any], error: Exception) -> None:
-    """Set an error unless the waiting task is gone."""
+    """Set the error unless the future is already done or cancelled."""
     if not future.done():
         future.set_exception(error)
 
 
 class PendingResults:
-    """Futures of what was appended in one term of leadership."""
+    """Futures of proposals, changes and rounds in one term of leadership."""
 
     def __init__(self) -> None:
         self._term = 0
@@ -98,13 +98,13 @@
 
     @property
     def proposal_count(self) -> int:
-        """Return how many proposals wait for their commit."""
+        """Return the number of proposals that are not committed yet."""
         return len(self._proposals)
 
     def add_proposals(
         self, term: int, first_index: int, proposals: list[Proposal]
     ) -> None:
-        """Wait for proposals that were appended from `first_index` on."""
+        """Add proposals that were appended from `first_index` on."""
         self._term = term
         for index, proposal in enumerate(proposals, first_index):
             self._proposals[index] = proposal.result
@@ -112,26 +112,26 @@
     def add_change(
         self, term: int, index: int, done: asyncio.Future[None]
     ) -> None:
-        """Wait for a membership change."""
+        """Add a membership change that was appended at `index`."""
         self._term = term
         self._changes.append((index, done))
 
     def add_confirmations(
         self, term: int, number: int, waiting: list[asyncio.Future[None]]
     ) -> None:
-        """Wait for a round to be confirmed."""
+        """Add futures that wait for the round `number` to be confirmed."""
         self._term = term
         self._rounds.extend((number, future) for future in waiting)
 
     def resolve_proposal(self, entry: wire.LogEntry, result: bytes) -> None:
-        """Hand over the result of an entry that was applied."""
+        """Set the result of the proposal of an applied entry, if pending."""
         if entry.term == self._term:
             future = self._proposals.pop(entry.index, None)
             if future is not None:
                 resolve(future, result)
 
     def resolve_decided(self, replica: _core.Replica) -> None:
-        """Resolve what is decided; fail the rest when leadership ended."""
+        """Resolve what is decided; fail the rest if the leadership ended."""
         if replica.term == self._term:
             self._resolve_changes(replica.commit_index)
         if replica.term == self._term and replica.leading_term is not None:
@@ -155,9 +155,9 @@
         self._rounds = [item for item in self._rounds if item[0] > confirmed]
 
     def fail(self, leader: ids.MemberId | None) -> None:
-        """Fail everything that waits."""
-        uncertain = [*self._proposals.values()]
-        for future in uncertain:
+        """Fail all pending futures."""
+        pending = [*self._proposals.values()]
+        for future in pending:
             reject(future, _make_uncertain_error(leader))
         for _, done in self._changes:
             reject(done, _make_uncertain_error(leader))
--- a/fulmarseam/consensus/_runtime_peers.py
+++ b/fulmarseam/consensus/_runtime_peers.py
@@ -14,8 +14,9 @@
 
 # Enough for a full window of appends and the heartbeats of one timeout.
 MAX_PENDING_REQUESTS = 64
-# After a silent partition TCP sends again only as late as the partition was
-# long, so a connection without answers is replaced.
+# After a partition that drops packets, TCP may wait about as long as the
+# partition lasted before it retransmits. A connection without answers is
+# therefore replaced.
 RECONNECT_AFTER_S = 2.0
 
 _log = logbook.Logger('consensus')
@@ -34,16 +35,19 @@
 
 
 class PeerClients:
-    """One client for each other member; answers go to `on_response`.
+    """One client for each other member; responses go to `on_response`.
 
-    Requests beyond `MAX_PENDING_REQUESTS` for a peer are dropped, as a
-    network may drop them; the replica sends again.
+    Requests to a peer beyond `MAX_PENDING_REQUESTS` are dropped like packets
+    lost in the network; the replica sends again.
     """
 
     def __init__(
-        self, me: ids.MemberId, timeout_s: float, on_response: ResponseHandler
+        self,
+        member_id: ids.MemberId,
+        timeout_s: float,
+        on_response: ResponseHandler,
     ) -> None:
-        self._member_id = me
+        self._member_id = member_id
         self._timeout_s = timeout_s
         self._on_response = on_response
         self._peers: dict[ids.MemberId, _PeerClient] = {}
@@ -70,7 +74,7 @@
     def send(
         self, group: str, to: ids.MemberId, body: wire.ReplicaRequest
     ) -> None:
-        """Start a request to a member."""
+        """Send a request to a member in the background."""
         peer = self._peers.get(to)
         if peer is None or len(peer.tasks) >= MAX_PENDING_REQUESTS:
             return
@@ -111,7 +115,7 @@
     def _update_reachability(
         self, member: ids.MemberId, peer: _PeerClient, failure: str | None
     ) -> None:
-        """Log when a peer stops or starts to answer."""
+        """Log when a peer becomes reachable or unreachable."""
         reachable = failure is None
         if reachable == peer.reachable:
             return
@@ -122,7 +126,7 @@
         )
 
     async def close(self) -> None:
-        """Close all clients and end the pending requests."""
+        """Close all clients and cancel the pending requests."""
         for peer in self._peers.values():
             await _close_peer(peer)
         self._peers.clear()
@@ -138,7 +142,7 @@
 
 
 async def _close_peer(peer: _PeerClient) -> None:
-    """End the pending requests first: each holds a part of the client."""
+    """Cancel the pending requests, then close the client that they use."""
     tasks = [*peer.tasks]
     for task in tasks:
         task.cancel()
--- a/fulmarseam/consensus/_storage.py
+++ b/fulmarseam/consensus/_storage.py
@@ -1,4 +1,4 @@
-"""Files of a member: identity, log and snapshots."""
+"""The data directory of a member: identity, log and snapshots."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -24,10 +24,10 @@
 
 
 class StorageFailedError(Exception):
-    """A write or sync failed; the process must not go on.
+    """A write or sync failed; nothing more may be written.
 
     After a failed sync the kernel may have dropped the written pages, so
-    a later sync that succeeds proves nothing.
+    the success of a later sync does not mean that they are on disk.
     """
 
 
@@ -44,8 +44,8 @@
 def load_or_assign_member_id(directory: str, host: ids.HostId) -> ids.MemberId:
     """Return the id of the member that `directory` belongs to.
 
-    A new directory gets an id that no other directory ever had, so that a
-    member which lost its state cannot act under its former id.
+    For a new directory, return a new unique id, so that a member which has
+    lost its state cannot act under its former id.
     """
     path = pathlib.Path(directory) / 'identity'
     try:
@@ -58,10 +58,10 @@
 
 
 def clear_directory(directory: str) -> None:
-    """Remove the files of a member that was removed from its group.
+    """Delete the files of a member that was removed from its group.
 
-    The identity goes last: while it is there, the directory is not taken
-    for a new one.
+    The identity file is deleted last: as long as it exists, the directory
+    does not count as new.
     """
     root = pathlib.Path(directory)
     for path in sorted(root.iterdir(), key=lambda item: item.name != 'log'):
@@ -88,7 +88,7 @@
         self.truncated_bytes = 0
 
     def open(self, new_store_id: str) -> _core_founding.Identity:
-        """Lock the directory and return its identity.
+        """Lock the directory and return the identity of its member.
 
         An empty directory gets the store id `new_store_id`.
         """
@@ -189,9 +189,9 @@
         return bound
 
     def load(self, founding: wire.Founding) -> _core_types.DurableState:
-        """Read the snapshot and the log, and get ready to append.
+        """Read the snapshot and the log, and open the log for appending.
 
-        A torn tail is cut off; `truncated_bytes` tells how much it was.
+        A torn tail is truncated; `truncated_bytes` is its length.
         """
         self._remove_temporary_files()
         snapshot = self._load_newest_snapshot()
@@ -232,7 +232,7 @@
         pending: list[_storage_replay.LogRecord] = []
         for record in records:
             if isinstance(record, _core_types.SnapshotRecord):
-                # The rewritten log holds what is pending.
+                # The rewritten log includes the pending records.
                 pending.clear()
                 self._save_snapshot(record)
             else:
@@ -282,7 +282,7 @@
     def _replace_file(
         self, path: pathlib.Path, parts: Sequence[bytes]
     ) -> None:
-        """Write a file so that a crash leaves the old or the new one."""
+        """Replace a file atomically: a crash leaves the old or the new one."""
         temporary = path.with_name(f'{path.name}.tmp')
         with self._fail_permanently():
             flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
@@ -306,7 +306,7 @@
     @contextlib.contextmanager
     def _fail_permanently(self) -> Iterator[None]:
         if self._failed:
-            raise StorageFailedError('an earlier write or sync failed')
+            raise StorageFailedError('an earlier write or sync has failed')
         try:
             yield
         except OSError as error:
--- a/fulmarseam/consensus/_storage_frames.py
+++ b/fulmarseam/consensus/_storage_frames.py
@@ -1,8 +1,8 @@
 """Frames of the log file: length, CRC-32 and payload.
 
 One frame is written and synced at a time, so only the last frame of a file
-can be incomplete after a crash. A damaged frame with data after it is
-refused instead of truncated.
+can be incomplete after a crash. A damaged frame that is followed by data is
+an error and is not truncated.
 """
 
 from collections.abc import Iterator
@@ -19,12 +19,12 @@
     'join: true'
 )
 HEADER = struct.Struct('<II')
-# A checksum that starts at 0 would accept a run of zero bytes as frames.
+# With the seed 0, a run of zero bytes would pass as valid frames.
 _CHECKSUM_SEED = 0x66756C6D
 
 
 def make_frame(payload: bytes) -> bytes:
-    """Return length, CRC-32 and payload; the checksum covers both others."""
+    """Return a frame; its CRC-32 covers the length and the payload."""
     length = len(payload)
     return HEADER.pack(length, _compute_checksum(length, payload)) + payload
 
@@ -47,10 +47,10 @@
 
 
 def _is_torn_tail(data: memoryview, offset: int) -> bool:
-    """Return whether the bad frame at `offset` can be an unfinished write.
+    """Return whether the damaged frame at `offset` may be a partial write.
 
-    It cannot when a whole frame follows, or when its length ends inside
-    the file and other than zero bytes follow.
+    It is not if a valid frame follows, or if the frame ends inside the file
+    and is followed by bytes other than zero.
     """
     for later in range(offset + 1, len(data) - HEADER.size):
         if read_frame(data, later) is not None:
@@ -65,10 +65,10 @@
 def read_frames(
     path: pathlib.Path, data: memoryview
 ) -> Iterator[tuple[int, memoryview]]:
-    """Yield offset and payload of each frame up to a torn tail.
+    """Yield the offset and payload of each frame up to a torn tail.
 
     The first frame is written together with the file, so it cannot be
-    torn. Raises `errors.DamagedDataError`.
+    incomplete. Raises `errors.DamagedDataError`.
     """
     offset = 0
     while offset < len(data) or offset == 0:
@@ -101,7 +101,7 @@
 def make_damage_error(
     path: pathlib.Path, offset: int, reason: str
 ) -> errors.DamagedDataError:
-    """Return the error that names the file, the offset and the remedy."""
+    """Return an error with the file, the offset and the remedy."""
     return errors.DamagedDataError(
         f'{path}: offset {offset}: {reason}; {REMEDY}'
     )
--- a/fulmarseam/consensus/_storage_replay.py
+++ b/fulmarseam/consensus/_storage_replay.py
@@ -1,4 +1,4 @@
-"""Reading of the log file and of snapshots."""
+"""Reading of the log file and of snapshot files."""
 
 import pathlib
 import zlib
@@ -13,7 +13,7 @@
 
 
 class LogStart(msgspec.Struct, tag='start', frozen=True):
-    """First record of a log file: it follows (`index`, `term`)."""
+    """First record of a log file; the log follows `index` and `term`."""
 
     version: int
     index: int
@@ -26,7 +26,7 @@
 
 
 class LogReplay:
-    """Puts the records of a log file together."""
+    """Rebuilds the term, the vote and the log from the records of a file."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
@@ -35,7 +35,7 @@
         self._entries: list[wire.LogEntry] = []
 
     def add_frame(self, offset: int, payload: memoryview) -> None:
-        """Take over the records of one frame."""
+        """Apply the records of one frame."""
         try:
             records = _records_decoder.decode(payload)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -45,7 +45,7 @@
         for record in records:
             if not self._apply(record):
                 raise _storage_frames.make_damage_error(
-                    self._path, offset, 'the records do not fit together'
+                    self._path, offset, 'the records are inconsistent'
                 )
 
     def _apply(self, record: LogRecord) -> bool:
@@ -65,44 +65,45 @@
     ) -> bool:
         if not entries:
             return True
-        keep = entries[0].index - start.index - 1
-        if not 0 <= keep <= len(self._entries):
+        kept_count = entries[0].index - start.index - 1
+        if not 0 <= kept_count <= len(self._entries):
             return False
-        del self._entries[keep:]
+        del self._entries[kept_count:]
         self._entries.extend(entries)
         return entries[-1].index == start.index + len(self._entries)
 
     @property
     def base_index(self) -> int:
-        """Return the index that the log file starts after."""
+        """Return the index before the first entry of the log file."""
         return self._start.index if self._start else 0
 
     def build_state(
         self,
-        founding: wire.GroupMembers,
+        initial_members: wire.GroupMembers,
         snapshot: _core_types.Snapshot | None,
     ) -> _core_types.DurableState:
-        """Return the state, with the log fitted to the snapshot."""
+        """Return the state; drop the log if it does not match the snapshot."""
         if self._start is None:
             raise _storage_frames.make_damage_error(
                 self._path, 0, 'the file is empty'
             )
         base = (self._start.index, self._start.term)
         entries = self._entries
-        covered = snapshot.meta.index if snapshot else 0
-        if base[0] > covered:
+        snapshot_index = snapshot.meta.index if snapshot else 0
+        if base[0] > snapshot_index:
             raise _storage_frames.make_damage_error(
                 self._path,
                 0,
                 f'the log starts after {base[0]} but the newest snapshot '
-                f'covers {covered}',
+                f'covers {snapshot_index}',
             )
-        if snapshot and self._find_term(covered) != snapshot.meta.term:
-            # A crash came between the snapshot and the log that fits it.
-            base = (covered, snapshot.meta.term)
+        if snapshot and self._find_term(snapshot_index) != snapshot.meta.term:
+            # A crash happened after the snapshot was written and before the
+            # log was rewritten.
+            base = (snapshot_index, snapshot.meta.term)
             entries = []
         return _core_types.DurableState(
-            initial_members=founding,
+            initial_members=initial_members,
             term=self._term.term,
             vote=self._term.vote,
             base_index=base[0],
--- a/tests/test_consensus_core.py
+++ b/tests/test_consensus_core.py
@@ -1,4 +1,4 @@
-"""Tests of the replica under simulated faults."""
+"""Tests of replicas under simulated faults."""
 
 import random
 import unittest
@@ -15,32 +15,32 @@
 from fulmarseam.consensus import _core_types
 from tests import consensus_simulation as simulation
 
-SEEDS = 140
-SEED_SECONDS = 12.0
+SEED_COUNT = 140
+SIMULATED_S = 12.0
 
 
 class RandomFaultsTest(unittest.TestCase):
-    """Guards against broken promises under mixed faults.
+    """Guards against violated guarantees under a random mix of faults.
 
-    Each run checks election safety, log matching, leader completeness,
+    The simulation checks election safety, log matching, leader completeness,
     acknowledged entries, lease and confirmed reads, and member changes.
     """
 
     def test_promises_hold_under_random_faults(self) -> None:
         reads = confirmations = installs = changes = 0
-        for seed in range(SEEDS):
+        for seed in range(SEED_COUNT):
             with self.subTest(seed=seed):
-                run = simulation.Simulation(seed, 3 if seed % 2 else 5)
-                simulation.Faults(run).run(SEED_SECONDS)
-                run.heal_and_check()
-                reads += run.reads
-                confirmations += run.confirmations
-                installs += run.installs
+                group = simulation.Simulation(seed, 3 if seed % 2 else 5)
+                simulation.Faults(group).run(SIMULATED_S)
+                group.heal_and_check()
+                reads += group.reads
+                confirmations += group.confirmations
+                installs += group.installs
                 changes += sum(
                     entry.type is wire.EntryType.MEMBERS
-                    for entry in run.committed.values()
+                    for entry in group.committed.values()
                 )
-        # The runs must reach what they check.
+        # Ensure that the runs reached what the simulation checks.
         self.assertGreater(reads, 10_000)
         self.assertGreater(confirmations, 100)
         self.assertGreater(installs, 10)
@@ -49,28 +49,28 @@
     def test_promises_hold_when_many_messages_are_lost(self) -> None:
         for seed in range(1_000, 1_030):
             with self.subTest(seed=seed):
-                run = simulation.Simulation(seed, 3, loss=0.2)
-                simulation.Faults(run).run(SEED_SECONDS)
-                run.heal_and_check()
+                group = simulation.Simulation(seed, 3, loss=0.2)
+                simulation.Faults(group).run(SIMULATED_S)
+                group.heal_and_check()
 
 
-class GroupMachine(stateful.RuleBasedStateMachine):
-    """Any order of faults, proposals and changes keeps the promises."""
+class GroupStateMachine(stateful.RuleBasedStateMachine):
+    """Checks the guarantees under any order of faults and proposals."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.run = simulation.Simulation(1, 3)
-        self.run.wait_for_leader()
+        self.group = simulation.Simulation(1, 3)
+        self.group.wait_for_leader()
 
     @stateful.rule(seconds=strategies.sampled_from([0.05, 0.3, 0.9, 2.0]))
     def wait(self, seconds: float) -> None:
-        self.run.run(seconds)
+        self.group.run(seconds)
 
     @stateful.rule(
         number=strategies.integers(0, 2), count=strategies.integers(1, 12)
     )
     def propose(self, number: int, count: int) -> None:
-        self.run.propose(self.run.nodes[f'n{number}'], count)
+        self.group.propose(self.group.nodes[f'n{number}'], count)
 
     @stateful.rule(
         number=strategies.integers(0, 2),
@@ -79,133 +79,137 @@
         ),
     )
     def crash_in_step(self, number: int, point: str) -> None:
-        self.run.nodes[f'n{number}'].crash_in = point
+        self.group.nodes[f'n{number}'].crash_in = point
 
     @stateful.rule(number=strategies.integers(0, 2))
     def restart(self, number: int) -> None:
-        node = self.run.nodes[f'n{number}']
-        self.run.crash(node)
-        self.run.start(node)
+        node = self.group.nodes[f'n{number}']
+        self.group.crash(node)
+        self.group.start(node)
 
     @stateful.rule(
         number=strategies.integers(0, 2),
-        ways=strategies.sampled_from([(1, 1), (1, 0), (0, 1)]),
+        directions=strategies.sampled_from([(1, 1), (1, 0), (0, 1)]),
     )
-    def isolate(self, number: int, ways: tuple[int, int]) -> None:
-        self.run.isolate(f'n{number}', bool(ways[0]), bool(ways[1]))
+    def isolate(self, number: int, directions: tuple[int, int]) -> None:
+        self.group.isolate(
+            f'n{number}', bool(directions[0]), bool(directions[1])
+        )
 
     @stateful.rule()
     def heal(self) -> None:
-        self.run.cut.clear()
+        self.group.cut.clear()
 
     @stateful.rule(number=strategies.integers(0, 2))
     def compact(self, number: int) -> None:
-        self.run.compact(self.run.nodes[f'n{number}'])
+        self.group.compact(self.group.nodes[f'n{number}'])
 
     @stateful.rule()
     def confirm(self) -> None:
-        for node in self.run.list_leaders():
-            self.run.confirm(node)
+        for node in self.group.list_leaders():
+            self.group.confirm(node)
 
     def teardown(self) -> None:
-        self.run.heal_and_check()
+        self.group.heal_and_check()
 
 
-GroupMachine.TestCase.settings = hypothesis.settings(
+GroupStateMachine.TestCase.settings = hypothesis.settings(
     max_examples=60,
     stateful_step_count=25,
     derandomize=True,
     deadline=None,
     database=None,
 )
-GroupTest = GroupMachine.TestCase
+GroupTest = GroupStateMachine.TestCase
 
 
 class LeaseTest(unittest.TestCase):
-    """Guards against two members that both believe to lead."""
+    """Guards against two members that both consider themselves leader."""
 
     def test_age_counts_from_the_start_of_a_round_and_ends(self) -> None:
-        run = simulation.Simulation(3, 3, loss=0.0)
-        leader = run.wait_for_leader()
+        group = simulation.Simulation(3, 3, loss=0.0)
+        leader = group.wait_for_leader()
         assert leader.replica is not None
-        run.run(1.0)
-        age = leader.replica.leadership_age(run.clock(leader))
+        group.run(1.0)
+        age = leader.replica.leadership_age(group.clock(leader))
         assert age is not None
         self.assertLess(age, 0.2)
-        run.isolate(leader.name, True, True)
-        started = run.clock(leader) - age
+        group.isolate(leader.name, True, True)
+        started = group.clock(leader) - age
         self.assertIsNotNone(leader.replica.leadership_age(started + 0.5939))
         self.assertIsNone(leader.replica.leadership_age(started + 0.5941))
 
     def test_leader_without_a_majority_steps_down(self) -> None:
         for inbound, outbound in ((True, True), (True, False), (False, True)):
             with self.subTest(inbound=inbound, outbound=outbound):
-                run = simulation.Simulation(4, 3, loss=0.0)
-                old = run.wait_for_leader()
-                run.isolate(old.name, inbound, outbound)
-                run.run(3.0)
+                group = simulation.Simulation(4, 3, loss=0.0)
+                old = group.wait_for_leader()
+                group.isolate(old.name, inbound, outbound)
+                group.run(3.0)
                 assert old.replica is not None
                 self.assertIsNot(_core_types.Role.LEADER, old.replica.role)
-                self.assertIsNot(old, run.wait_for_leader())
+                self.assertIsNot(old, group.wait_for_leader())
 
     def test_voter_that_restarts_does_not_break_the_lease(self) -> None:
         for seed in range(10):
             with self.subTest(seed=seed):
-                run = simulation.Simulation(seed, 3, loss=0.0)
-                leader = run.wait_for_leader()
+                group = simulation.Simulation(seed, 3, loss=0.0)
+                leader = group.wait_for_leader()
                 voter, other = (
-                    node for node in run.nodes.values() if node is not leader
+                    node for node in group.nodes.values() if node is not leader
                 )
-                run.cut = {(leader.name, other.name)}
+                group.cut = {(leader.name, other.name)}
                 for _ in range(60):
-                    run.run(0.05)
-                    run.crash(voter)
-                    run.start(voter)
-                run.cut.clear()
-                run.heal_and_check()
+                    group.run(0.05)
+                    group.crash(voter)
+                    group.start(voter)
+                group.cut.clear()
+                group.heal_and_check()
 
     def test_returning_member_does_not_depose_the_leader(self) -> None:
-        run = simulation.Simulation(5, 3, loss=0.0)
-        leader = run.wait_for_leader()
-        other = next(node for node in run.nodes.values() if node is not leader)
-        run.isolate(other.name, True, True)
-        run.run(20.0)
-        run.cut.clear()
-        run.run(3.0)
-        self.assertEqual(1, len(run.leaders))
+        group = simulation.Simulation(5, 3, loss=0.0)
+        leader = group.wait_for_leader()
+        other = next(
+            node for node in group.nodes.values() if node is not leader
+        )
+        group.isolate(other.name, True, True)
+        group.run(20.0)
+        group.cut.clear()
+        group.run(3.0)
+        self.assertEqual(1, len(group.leaders))
 
     def test_new_leader_comes_within_two_seconds(self) -> None:
         for seed in range(40):
             with self.subTest(seed=seed):
-                run = simulation.Simulation(seed, 5, loss=0.0)
-                run.crash(run.wait_for_leader())
-                run.run_until(lambda run=run: run.find_leader(), 2.0)
+                group = simulation.Simulation(seed, 5, loss=0.0)
+                group.crash(group.wait_for_leader())
+                group.run_until(lambda group=group: group.find_leader(), 2.0)
 
 
 class MembershipTest(unittest.TestCase):
-    """Guards against members that count before or after their time."""
+    """Guards against members that count too early or after their removal."""
 
     def setUp(self) -> None:
-        self.run_ = simulation.Simulation(6, 3, loss=0.0)
-        self.leader = self.run_.wait_for_leader()
+        self.group = simulation.Simulation(6, 3, loss=0.0)
+        self.leader = self.group.wait_for_leader()
         assert self.leader.replica is not None
         self.replica: _core.Replica = self.leader.replica
 
     def add(self, name: str) -> bool:
-        self.run_.add_node(name)
-        info = self.run_.describe(name)
-        return self.run_.change(
+        self.group.add_node(name)
+        info = self.group.describe(name)
+        return self.group.change(
             self.leader,
             lambda replica: replica.add_learner(
-                self.run_.clock(self.leader), info
+                self.group.clock(self.leader), info
             ),
         )
 
     def remove(self, name: str) -> bool:
-        return self.run_.change(
+        return self.group.change(
             self.leader,
             lambda replica: replica.remove_member(
-                self.run_.clock(self.leader), name
+                self.group.clock(self.leader), name
             ),
         )
 
@@ -213,109 +217,114 @@
         return _core_members.list_voters(self.replica.members)
 
     def test_newcomer_counts_for_nothing_until_caught_up(self) -> None:
-        """A second member is lost right after a repair (F8)."""
-        run = self.run_
+        """Case F8: a second member is lost right after a repair.
+
+        A learner that has not caught up must not count for a majority.
+        """
+        group = self.group
         first, second = (
-            node for node in run.nodes.values() if node is not self.leader
+            node for node in group.nodes.values() if node is not self.leader
         )
-        run.propose(self.leader, 300)
-        run.run(1.0)
-        run.compact(self.leader)
-        run.crash(first)
+        group.propose(self.leader, 300)
+        group.run(1.0)
+        group.compact(self.leader)
+        group.crash(first)
         self.assertTrue(self.remove(first.name))
-        run.run(0.5)
-        run.cut = {(self.leader.name, 'n3')}
+        group.run(0.5)
+        group.cut = {(self.leader.name, 'n3')}
         self.assertTrue(self.add('n3'))
-        run.run(1.0)
+        group.run(1.0)
         self.assertNotIn('n3', self.list_voters())
-        run.crash(second)
-        run.cut.clear()
+        group.crash(second)
+        group.cut.clear()
         committed = self.replica.commit_index
-        run.propose(self.leader)
-        run.run(0.5)
+        group.propose(self.leader)
+        group.run(0.5)
         self.assertEqual(committed, self.replica.commit_index)
-        run.start(second)
-        run.heal_and_check()
+        group.start(second)
+        group.heal_and_check()
         self.assertIn('n3', self.list_voters())
 
     def test_one_change_at_a_time(self) -> None:
-        self.run_.run(0.5)
+        self.group.run(0.5)
         self.assertTrue(self.add('n3'))
         self.assertFalse(self.add('n4'))
 
     def test_leader_changes_nothing_before_its_first_commit(self) -> None:
-        run = self.run_
-        run.crash(self.leader)
-        send = run.send
+        group = self.group
+        group.crash(self.leader)
+        send = group.send
 
-        def lose_answers(
+        def drop_append_responses(
             source: str, to: str, body: wire.ReplicaMessage
         ) -> None:
             if not isinstance(body, wire.AppendResponse):
                 send(source, to, body)
 
-        run.send = lose_answers  # type: ignore[method-assign]
-        run.run_until(lambda: bool(run.list_leaders()), 5.0)
-        self.leader = run.list_leaders()[0]
+        group.send = drop_append_responses  # type: ignore[method-assign]
+        group.run_until(lambda: bool(group.list_leaders()), 5.0)
+        self.leader = group.list_leaders()[0]
         assert self.leader.replica is not None
         self.assertIsNone(self.leader.replica.leading_term)
         self.assertFalse(self.add('n3'))
 
     def test_removed_id_cannot_come_back(self) -> None:
-        self.run_.run(0.5)
-        gone = next(name for name in self.run_.nodes if name != 'n0')
+        self.group.run(0.5)
+        gone = next(name for name in self.group.nodes if name != 'n0')
         if gone == self.leader.name:
             gone = 'n0'
         self.assertTrue(self.remove(gone))
-        self.run_.run(0.5)
-        info = self.run_.describe(gone)
+        self.group.run(0.5)
+        info = self.group.describe(gone)
         with self.assertRaises(errors.FulmarseamError) as caught:
             self.replica.add_learner(0.0, info)
         self.assertIs(errors.ErrorKind.INVALID_EDIT, caught.exception.kind)
 
     def test_removal_that_would_stop_the_group_is_refused(self) -> None:
-        self.run_.run(0.5)
+        self.group.run(0.5)
         first, second = (
             node
-            for node in self.run_.nodes.values()
+            for node in self.group.nodes.values()
             if node is not self.leader
         )
-        self.run_.crash(first)
-        self.run_.run(2.0)
+        self.group.crash(first)
+        self.group.run(2.0)
         self.assertFalse(self.remove(second.name))
         self.assertTrue(self.remove(first.name))
 
     def test_leader_that_removes_itself_hands_over(self) -> None:
-        self.run_.run(0.5)
+        self.group.run(0.5)
         self.assertTrue(self.remove(self.leader.name))
-        self.run_.run(4.0)
-        self.assertIsNot(self.leader, self.run_.wait_for_leader())
+        self.group.run(4.0)
+        self.assertIsNot(self.leader, self.group.wait_for_leader())
         self.assertIs(_core_types.Role.FOLLOWER, self.replica.role)
 
 
 class CatchUpTest(unittest.TestCase):
-    """Guards against members that never catch up."""
+    """Guards against followers that never catch up with the leader."""
 
     def test_member_hundreds_of_entries_and_a_snapshot_behind(self) -> None:
-        run = simulation.Simulation(7, 3)
-        leader = run.wait_for_leader()
-        other = next(node for node in run.nodes.values() if node is not leader)
-        run.propose(leader, 20)
-        run.run(1.0)
-        run.crash(other)
+        group = simulation.Simulation(7, 3)
+        leader = group.wait_for_leader()
+        other = next(
+            node for node in group.nodes.values() if node is not leader
+        )
+        group.propose(leader, 20)
+        group.run(1.0)
+        group.crash(other)
         for _ in range(40):
-            run.propose(run.wait_for_leader(), 20)
-            run.run(0.2)
-        run.compact(run.wait_for_leader())
-        run.propose(run.wait_for_leader(), 50)
-        run.run(0.2)
-        run.start(other)
-        run.heal_and_check()
-        self.assertEqual(1, run.installs)
+            group.propose(group.wait_for_leader(), 20)
+            group.run(0.2)
+        group.compact(group.wait_for_leader())
+        group.propose(group.wait_for_leader(), 50)
+        group.run(0.2)
+        group.start(other)
+        group.heal_and_check()
+        self.assertEqual(1, group.installs)
         self.assertGreater(len(other.applied), 800)
 
     def test_damaged_transfer_is_repeated(self) -> None:
-        """A snapshot whose checksum does not match is not installed."""
+        """A snapshot with a wrong checksum is not installed."""
         config = _core_types.ReplicaConfig(member_id='n1')
         replica = _core.Replica(
             config,
@@ -335,48 +344,50 @@
             self.assertEqual([good] if done else [], effects.committed)
 
     def test_follower_with_a_long_wrong_tail_needs_few_messages(self) -> None:
-        """Back-off skips a whole term at a time."""
-        run = simulation.Simulation(8, 3, loss=0.0)
-        old = run.wait_for_leader()
-        run.isolate(old.name, True, True)
-        run.propose(old, 400)
-        run.run(3.0)
-        leader = run.wait_for_leader()
-        run.propose(leader, 1)
-        run.run(0.5)
+        """The leader skips a whole term with each rejected append."""
+        group = simulation.Simulation(8, 3, loss=0.0)
+        old = group.wait_for_leader()
+        group.isolate(old.name, True, True)
+        group.propose(old, 400)
+        group.run(3.0)
+        leader = group.wait_for_leader()
+        group.propose(leader, 1)
+        group.run(0.5)
         assert leader.replica is not None
-        rejected = 0
-        send = run.send
+        rejection_count = 0
+        send = group.send
 
-        def count(source: str, to: str, body: wire.ReplicaMessage) -> None:
-            nonlocal rejected
+        def count_rejections(
+            source: str, to: str, body: wire.ReplicaMessage
+        ) -> None:
+            nonlocal rejection_count
             if isinstance(body, wire.AppendResponse) and not body.success:
-                rejected += 1
+                rejection_count += 1
             send(source, to, body)
 
-        run.send = count  # type: ignore[method-assign]
-        run.heal_and_check()
-        self.assertLessEqual(rejected, 4)
+        group.send = count_rejections  # type: ignore[method-assign]
+        group.heal_and_check()
+        self.assertLessEqual(rejection_count, 4)
 
     def test_hint_below_the_log_leads_to_a_snapshot(self) -> None:
-        """Seed 16700: the log was compacted past a rejected index."""
+        """Seed 16700: compaction had dropped the rejected index."""
         log = _core_log.Log(10, 2)
         self.assertIsNone(log.last_index_of_term(1, 5))
 
     def test_malformed_append_changes_nothing(self) -> None:
         config = _core_types.ReplicaConfig(member_id='n1')
-        founding = wire.GroupMembers()
+        initial_members = wire.GroupMembers()
         replica = _core.Replica(
             config,
-            _core_types.DurableState(founding),
+            _core_types.DurableState(initial_members),
             random.Random(1),
             0.0,
         )
-        bad = [
+        malformed_batches = [
             [wire.LogEntry(7, 1, wire.EntryType.COMMAND, b'x')],
             [wire.LogEntry(1, 1, wire.EntryType.MEMBERS, b'\xc1')],
         ]
-        for entries in bad:
+        for entries in malformed_batches:
             request = wire.AppendRequest(
                 term=9,
                 round=1,
@@ -391,10 +402,10 @@
 
 
 class LeaderTest(unittest.TestCase):
-    """Guards against answers that are taken for more than they say."""
+    """Guards against responses that confirm more than they should."""
 
     def setUp(self) -> None:
-        """Elect a leader of term 3 that holds entries of earlier terms."""
+        """Elect a leader of term 3 that has entries of earlier terms."""
         members = wire.GroupMembers(
             [
                 wire.MemberInfo(member=name, address='', region='r', store='')
@@ -420,7 +431,7 @@
             self.replica.receive(self.now, 'n1', vote)
         self.assertIs(_core_types.Role.LEADER, self.replica.role)
 
-    def answer(
+    def send_response(
         self, now: float, term: int, number: int, match_index: int
     ) -> list[wire.LogEntry | _core_types.Snapshot]:
         response = wire.AppendResponse(
@@ -429,9 +440,9 @@
         return self.replica.receive(now, 'n1', response).committed
 
     def test_entry_of_an_earlier_term_is_not_committed_alone(self) -> None:
-        """A later leader could still replace it."""
-        self.assertEqual([], self.answer(self.now, 3, 1, 2))
-        committed = self.answer(self.now, 3, 1, 3)
+        """A later leader could still replace such an entry."""
+        self.assertEqual([], self.send_response(self.now, 3, 1, 2))
+        committed = self.send_response(self.now, 3, 1, 3)
         self.assertEqual(
             [1, 2, 3],
             [
@@ -442,23 +453,26 @@
         )
 
     def test_answer_of_an_earlier_term_is_ignored(self) -> None:
-        self.assertEqual([], self.answer(self.now, 2, 1, 3))
+        self.assertEqual([], self.send_response(self.now, 2, 1, 3))
         self.assertEqual(0, self.replica.match_indexes['n1'])
         self.assertEqual(0, self.replica.confirmed_round)
 
     def test_age_counts_from_the_round_that_was_answered(self) -> None:
-        self.answer(self.now, 3, 1, 3)
+        self.send_response(self.now, 3, 1, 3)
         answered = self.replica.next_tick_at()
         self.replica.tick(answered)
         later = self.replica.next_tick_at()
         self.replica.tick(later)
-        self.answer(later, 3, 2, 3)
+        self.send_response(later, 3, 2, 3)
         age = self.replica.leadership_age(later)
         assert age is not None
         self.assertAlmostEqual(later - answered, age)
 
     def test_refusal_of_an_old_term_confirms_no_round(self) -> None:
-        """Seed 12241: the sender led again and took it for a new round."""
+        """Seed 12241: a late refusal counted for a round of a later term.
+
+        The sender of the old append led again when the refusal arrived.
+        """
         append = wire.AppendRequest(
             term=2,
             round=7,
@@ -490,54 +504,61 @@
 
 
 class IsolatedLeaderTest(unittest.TestCase):
-    """Guards against a leader that vouches for itself alone."""
+    """Guards against a leader that confirms itself without a majority."""
 
     def test_isolated_leader_confirms_nothing(self) -> None:
-        run = simulation.Simulation(9, 3, loss=0.0)
-        leader = run.wait_for_leader()
-        run.run(0.5)
-        run.isolate(leader.name, True, True)
-        run.confirm(leader)
-        run.run(0.5)
-        self.assertEqual(0, run.confirmations)
-        run.cut.clear()
-        run.run(0.5)
-        self.assertEqual(1, run.confirmations)
+        group = simulation.Simulation(9, 3, loss=0.0)
+        leader = group.wait_for_leader()
+        group.run(0.5)
+        group.isolate(leader.name, True, True)
+        group.confirm(leader)
+        group.run(0.5)
+        self.assertEqual(0, group.confirmations)
+        group.cut.clear()
+        group.run(0.5)
+        self.assertEqual(1, group.confirmations)
 
     def test_last_voter_that_restarts_waits_for_the_lease(self) -> None:
-        """Seed 17089: the leader that removed itself still held a lease."""
-        run = simulation.Simulation(11, 2, loss=0.0)
-        leader = run.wait_for_leader()
-        run.run(0.5)
-        other = next(node for node in run.nodes.values() if node is not leader)
-        run.cut = {(other.name, leader.name)}
-        run.change(
+        """Seed 17089: the restarted voter led while a lease was valid.
+
+        The leader that had removed itself still held that lease.
+        """
+        group = simulation.Simulation(11, 2, loss=0.0)
+        leader = group.wait_for_leader()
+        group.run(0.5)
+        other = next(
+            node for node in group.nodes.values() if node is not leader
+        )
+        group.cut = {(other.name, leader.name)}
+        group.change(
             leader,
             lambda replica: replica.remove_member(
-                run.clock(leader), leader.name
+                group.clock(leader), leader.name
             ),
         )
-        run.run(0.1)
-        run.crash(other)
-        run.start(other)
-        run.run(0.1)
-        run.heal_and_check()
+        group.run(0.1)
+        group.crash(other)
+        group.start(other)
+        group.run(0.1)
+        group.heal_and_check()
 
     def test_member_under_removal_may_be_needed_to_lead(self) -> None:
-        """Only its log is complete when its removal is not committed."""
-        run = simulation.Simulation(10, 2, loss=0.0)
-        leader = run.wait_for_leader()
-        run.run(0.5)
-        run.cut = {
-            (leader.name, other) for other in run.nodes if other != leader.name
+        """Only its log is complete while its removal is not committed."""
+        group = simulation.Simulation(10, 2, loss=0.0)
+        leader = group.wait_for_leader()
+        group.run(0.5)
+        group.cut = {
+            (leader.name, other)
+            for other in group.nodes
+            if other != leader.name
         }
-        removed = run.change(
+        removed = group.change(
             leader,
             lambda replica: replica.remove_member(
-                run.clock(leader), leader.name
+                group.clock(leader), leader.name
             ),
         )
         self.assertTrue(removed)
-        run.run(4.0)
-        run.heal_and_check()
-        self.assertNotEqual(leader, run.wait_for_leader())
+        group.run(4.0)
+        group.heal_and_check()
+        self.assertNotEqual(leader, group.wait_for_leader())
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -1,4 +1,4 @@
-"""Tests of members that talk over loopback."""
+"""Tests of members that communicate over loopback."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,14 +25,14 @@
 
 
 class RecordingStateMachine:
-    """Keeps the commands it has applied."""
+    """Records the commands it has applied."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
 
     def apply(self, command: bytes) -> bytes:
         if command == b'raise':
-            raise ValueError('a fault of the machine')
+            raise ValueError('command failed')
         self.commands.append(command)
         return b'%d' % len(self.commands)
 
@@ -44,7 +44,7 @@
 
 
 class Host:
-    """One member with its server."""
+    """A member with its RPC server."""
 
     def __init__(self, options: consensus.MemberSettings) -> None:
         self.options = options
@@ -68,12 +68,12 @@
 
 
 class MemberTestCase(unittest.IsolatedAsyncioTestCase):
-    """Runs a group; `snapshot_every` is small to reach snapshots."""
+    """Runs a group; a small `snapshot_every` makes members take snapshots."""
 
     size = 3
 
     async def asyncSetUp(self) -> None:
-        # The debug mode of the test loop made a proposal ten times slower.
+        # In debug mode of the event loop a proposal takes ten times as long.
         asyncio.get_running_loop().set_debug(False)
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
@@ -92,10 +92,10 @@
                 await host.stop()
 
     async def start(self, name: str) -> Host:
-        """Start a member; one that is not initial joins later."""
-        known = self.members.get(name)
+        """Start a member; any other than an initial member joins the group."""
+        initial = self.members.get(name)
         address = (
-            known.address if known else test_transport.find_free_address()
+            initial.address if initial else test_transport.find_free_address()
         )
         host = Host(
             consensus.MemberSettings(
@@ -104,7 +104,7 @@
                 address=address,
                 data_dir=str(self.directory / name),
                 members=self.members,
-                join=known is None,
+                join=initial is None,
                 heartbeat_s=0.05,
                 election_min_s=0.25,
                 election_max_s=0.5,
@@ -139,19 +139,19 @@
         return self.list_leaders()[0]
 
     async def wait_for_voters(self, leader: Host, *names: str) -> None:
-        def have_changed() -> bool:
+        def has_voters() -> bool:
             members = leader.member.status().members
             voters = {info.member for info in members if info.voter}
             return voters == set(names)
 
-        await self.wait_until(have_changed)
+        await self.wait_until(has_voters)
 
     def list_followers(self, leader: Host) -> list[Host]:
         return [host for host in self.hosts.values() if host is not leader]
 
 
 class GroupTest(MemberTestCase):
-    """Guards against a group that loses entries or its leader."""
+    """Guards against a group that loses entries or stays without leader."""
 
     async def test_commands_reach_all_machines_in_order(self) -> None:
         leader = await self.start_group()
@@ -252,7 +252,7 @@
 
 
 class ReplacementTest(MemberTestCase):
-    """Guards against members that count although they lost their state."""
+    """Guards against members that vote although they lost their state."""
 
     async def test_wiped_member_never_votes(self) -> None:
         leader = await self.start_group()
@@ -287,20 +287,20 @@
         leader = await self.start_group()
         for number in range(220):
             await leader.member.propose(b'%d' % number)
-        gone = self.list_followers(leader)[0]
-        await gone.stop()
-        await leader.member.remove_member(gone.options.member_id)
+        removed = self.list_followers(leader)[0]
+        await removed.stop()
+        await leader.member.remove_member(removed.options.member_id)
         newcomer = await self.start('c3')
         await leader.member.add_member('c3', newcomer.options.address, 'r')
-        left = set(self.members) - {gone.options.member_id}
-        await self.wait_for_voters(leader, *left, 'c3')
+        remaining = set(self.members) - {removed.options.member_id}
+        await self.wait_for_voters(leader, *remaining, 'c3')
         self.assertGreater(newcomer.member.status().first_index, 1)
         await leader.stop()
         new = await self.find_leader()
         self.assertEqual(220, len(new.machine.commands))
         await newcomer.stop()
-        again = await self.start('c3')
-        await self.wait_until(lambda: len(again.machine.commands) == 220)
+        restarted = await self.start('c3')
+        await self.wait_until(lambda: len(restarted.machine.commands) == 220)
 
     async def test_wrong_newcomers_are_refused(self) -> None:
         leader = await self.start_group()
@@ -319,7 +319,7 @@
 
 
 class FoundingTest(unittest.TestCase):
-    """Guards against a second group and against a wiped member."""
+    """Guards against a second group, and against wiped or removed members."""
 
     def setUp(self) -> None:
         self.initial = {
@@ -331,27 +331,30 @@
         self.founding = wire.Founding(
             group='g',
             members=wire.GroupMembers(
-                [self.describe(name, f'store-{name}') for name in self.initial]
+                [
+                    self.make_info(name, f'store-{name}')
+                    for name in self.initial
+                ]
             ),
         )
 
-    def describe(self, name: str, store: str) -> wire.MemberInfo:
+    def make_info(self, name: str, store: str) -> wire.MemberInfo:
         return wire.MemberInfo(
             member=name, address='', region='r', store=store
         )
 
-    def answer(
+    def make_response(
         self,
         name: str,
         founding: wire.Founding | None = None,
         members: wire.GroupMembers | None = None,
     ) -> wire.IdentityResponse:
-        known = founding.members if founding else wire.GroupMembers()
+        initial_members = founding.members if founding else wire.GroupMembers()
         return wire.IdentityResponse(
             member=name,
             store=f'store-{name}',
             group=founding.group if founding else '',
-            members=members or known,
+            members=members or initial_members,
             founding=founding,
         )
 
@@ -368,16 +371,17 @@
         )
 
     def test_group_is_founded_once_by_all(self) -> None:
-        one, two = self.answer('c1'), self.answer('c2')
-        waiting = _core_founding.BindingDecision()
-        self.assertEqual(waiting, self.decide('c0', 'store-c0', one))
+        first, second = self.make_response('c1'), self.make_response('c2')
+        undecided = _core_founding.BindingDecision()
+        self.assertEqual(undecided, self.decide('c0', 'store-c0', first))
         self.assertEqual(
-            waiting, self.decide('c1', 'store-c1', self.answer('c0'), two)
+            undecided,
+            self.decide('c1', 'store-c1', self.make_response('c0'), second),
         )
         self.assertEqual(
-            waiting, self.decide('c0', 'store-c0', one, two, join=True)
+            undecided, self.decide('c0', 'store-c0', first, second, join=True)
         )
-        founded = self.decide('c0', 'store-c0', one, two).founding
+        founded = self.decide('c0', 'store-c0', first, second).founding
         assert founded is not None
         self.assertEqual('new', founded.group)
         self.assertEqual(
@@ -386,28 +390,28 @@
         )
 
     def test_new_member_follows_a_founding_that_names_it(self) -> None:
-        bound = self.answer('c0', self.founding)
-        decision = self.decide('c1', 'store-c1', bound)
+        response = self.make_response('c0', self.founding)
+        decision = self.decide('c1', 'store-c1', response)
         self.assertEqual(self.founding, decision.founding)
 
     def test_wiped_member_is_refused(self) -> None:
-        bound = self.answer('c1', self.founding)
+        response = self.make_response('c1', self.founding)
         for join in (False, True):
             decision = self.decide(
-                'c0', 'other', bound, self.answer('c2'), join=join
+                'c0', 'other', response, self.make_response('c2'), join=join
             )
             self.assertIsNone(decision.founding)
             self.assertIn('new member_id', decision.refusal or '')
 
     def test_removed_member_is_refused(self) -> None:
         members = wire.GroupMembers([], ['c0'])
-        bound = self.answer('c1', self.founding, members)
-        decision = self.decide('c0', 'store-c0', bound)
+        response = self.make_response('c1', self.founding, members)
+        decision = self.decide('c0', 'store-c0', response)
         self.assertIsNotNone(decision.refusal)
 
 
 class AddresseeTest(MemberTestCase):
-    """Guards against messages meant for a directory that is lost."""
+    """Guards against accepting messages meant for a lost directory."""
 
     async def test_new_directory_refuses_messages_for_another(self) -> None:
         for name in ('c0', 'c9'):
@@ -428,12 +432,12 @@
 
 
 class PeersTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against a connection that stays silent after a partition."""
+    """Guards against keeping a connection that is dead after a partition."""
 
     async def test_silent_connection_is_replaced(self) -> None:
         connections = 0
 
-        async def swallow(
+        async def read_without_answer(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             nonlocal connections
@@ -441,7 +445,9 @@
             await reader.read()
             writer.close()
 
-        server = await asyncio.start_server(swallow, '127.0.0.1', 0)
+        server = await asyncio.start_server(
+            read_without_answer, '127.0.0.1', 0
+        )
         port = server.sockets[0].getsockname()[1]
         peers = _runtime_peers.PeerClients(
             'c0', 0.05, lambda sender, body: None
@@ -460,7 +466,7 @@
 
 
 class ProcessEndTest(MemberTestCase):
-    """Guards against members that go on after a failure."""
+    """Guards against members that keep running after a failure."""
 
     size = 1
 
@@ -474,7 +480,7 @@
         self.assertEqual([], host.machine.commands)
 
     async def test_large_commands_are_compacted_early(self) -> None:
-        """A log of few large entries does not grow without a bound."""
+        """Without a byte limit, a log of few large entries grows unbounded."""
         host = await self.start_group()
         with mock.patch.object(
             _runtime_driver, 'MAX_BYTES_BEFORE_SNAPSHOT', 1_000
--- a/tests/test_consensus_repair.py
+++ b/tests/test_consensus_repair.py
@@ -1,4 +1,4 @@
-"""Tests of founding by seeds and of the replacement of lost members."""
+"""Tests of founding a group by seeds and of replacing lost members."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 def make_info(
     host: str, store: str = 's', voter: bool = True
 ) -> wire.MemberInfo:
-    """Return a member that runs on a host."""
+    """Return a member on `host`."""
     return wire.MemberInfo(
         member=ids.MemberId(f'{host}.{store}'),
         address=f'{host}:1',
@@ -22,16 +22,16 @@
     )
 
 
-FIVE = wire.GroupMembers([make_info(host) for host in 'abcde'])
+FIVE_VOTERS = wire.GroupMembers([make_info(host) for host in 'abcde'])
 LEADER = ids.MemberId('a.s')
 
 
-def plan(
+def plan_repair(
     members: wire.GroupMembers,
     candidates: list[wire.MemberInfo],
     **silences: float,
 ) -> _repair.Repair | None:
-    """Return the leader's next change; silences are by host."""
+    """Return the leader's next change; `silences` are by host."""
     by_member = {
         info.member: silences.get(str(info.host), 0.0)
         for info in members.members
@@ -40,53 +40,62 @@
 
 
 class RepairTest(unittest.TestCase):
-    """Guards against a lost member that counts for a majority for ever."""
+    """Guards against lost members that count as voters forever."""
 
     def test_a_sound_group_is_left_as_it_is(self) -> None:
-        self.assertIsNone(plan(FIVE, [], b=9.0))
+        self.assertIsNone(plan_repair(FIVE_VOTERS, [], b=9.0))
 
     def test_the_former_member_of_a_wiped_host_is_removed(self) -> None:
-        change = plan(FIVE, [make_info('b', 'new')])
+        change = plan_repair(FIVE_VOTERS, [make_info('b', 'new')])
         self.assertEqual(change, _repair.RemoveMember(ids.MemberId('b.s')))
 
     def test_a_wiped_host_is_added_once_its_former_member_is_gone(
         self,
     ) -> None:
-        left = wire.GroupMembers(
-            [info for info in FIVE.members if info.host != 'b'],
+        remaining = wire.GroupMembers(
+            [info for info in FIVE_VOTERS.members if info.host != 'b'],
             [ids.MemberId('b.s')],
         )
         new = make_info('b', 'new')
-        self.assertEqual(plan(left, [new]), _repair.AddLearner(new))
+        self.assertEqual(
+            plan_repair(remaining, [new]), _repair.AddLearner(new)
+        )
 
     def test_a_new_host_is_added_before_the_silent_one_is_removed(
         self,
     ) -> None:
         new = make_info('f')
-        self.assertEqual(plan(FIVE, [new], b=9.0), _repair.AddLearner(new))
-        six = wire.GroupMembers([*FIVE.members, new])
         self.assertEqual(
-            plan(six, [], b=9.0, c=2.0),
+            plan_repair(FIVE_VOTERS, [new], b=9.0), _repair.AddLearner(new)
+        )
+        six_members = wire.GroupMembers([*FIVE_VOTERS.members, new])
+        self.assertEqual(
+            plan_repair(six_members, [], b=9.0, c=2.0),
             _repair.RemoveMember(ids.MemberId('b.s')),
         )
 
     def test_a_short_silence_removes_nobody(self) -> None:
-        six = wire.GroupMembers([*FIVE.members, make_info('f')])
-        self.assertIsNone(plan(six, [], b=1.0))
+        six_members = wire.GroupMembers([*FIVE_VOTERS.members, make_info('f')])
+        self.assertIsNone(plan_repair(six_members, [], b=1.0))
 
     def test_a_retired_id_is_not_added_again(self) -> None:
-        left = wire.GroupMembers(FIVE.members, [ids.MemberId('f.s')])
-        self.assertIsNone(plan(left, [make_info('f')]))
+        remaining = wire.GroupMembers(
+            FIVE_VOTERS.members, [ids.MemberId('f.s')]
+        )
+        self.assertIsNone(plan_repair(remaining, [make_info('f')]))
 
     def test_a_learner_that_vanished_is_removed(self) -> None:
-        six = wire.GroupMembers([*FIVE.members, make_info('f', voter=False)])
+        six_members = wire.GroupMembers(
+            [*FIVE_VOTERS.members, make_info('f', voter=False)]
+        )
         self.assertEqual(
-            plan(six, [], f=3.0), _repair.RemoveMember(ids.MemberId('f.s'))
+            plan_repair(six_members, [], f=3.0),
+            _repair.RemoveMember(ids.MemberId('f.s')),
         )
 
 
 class SilencesTest(unittest.TestCase):
-    """Guards against a new leader that finds everybody silent."""
+    """Guards against a new leader that considers all members silent."""
 
     def test_silence_counts_from_the_first_look(self) -> None:
         silences = _repair.SilenceTracker()
@@ -99,21 +108,21 @@
 
 
 class FoundingTest(unittest.TestCase):
-    """Guards against two groups, and against one that is too small."""
+    """Guards against two groups, and against a group that is too small."""
 
     def test_the_founder_waits_for_the_wanted_number(self) -> None:
         three = [make_info(host) for host in 'abc']
-        five = list(FIVE.members)
-        decide = _discovery.should_found_group
-        self.assertFalse(decide(1.0, 0.9, three, 5))
-        self.assertTrue(decide(1.0, 0.9, five, 5))
-        self.assertFalse(decide(1.0, 0.2, five, 5))
-        self.assertTrue(decide(4.5, 0.9, three, 5))
-        self.assertFalse(decide(9.0, 0.9, three[:2], 5))
+        five = list(FIVE_VOTERS.members)
+        should_found = _discovery.should_found_group
+        self.assertFalse(should_found(1.0, 0.9, three, 5))
+        self.assertTrue(should_found(1.0, 0.9, five, 5))
+        self.assertFalse(should_found(1.0, 0.2, five, 5))
+        self.assertTrue(should_found(4.5, 0.9, three, 5))
+        self.assertFalse(should_found(9.0, 0.9, three[:2], 5))
 
     def test_candidates_that_stop_to_ask_are_forgotten(self) -> None:
         candidates = _discovery.JoinCandidates()
         candidates.add(0.0, make_info('a'))
         candidates.add(0.8, make_info('b'))
-        live = candidates.list_recent(1.5)
-        self.assertEqual([info.host for info in live], ['b'])
+        recent = candidates.list_recent(1.5)
+        self.assertEqual([info.host for info in recent], ['b'])
--- a/tests/test_consensus_storage.py
+++ b/tests/test_consensus_storage.py
@@ -17,7 +17,7 @@
 
 
 def make_entries(first: int, count: int, term: int = 1) -> list[wire.LogEntry]:
-    """Return entries with data."""
+    """Return `count` entries with data, starting at index `first`."""
     return [
         wire.LogEntry(index, term, wire.EntryType.COMMAND, b'data %d' % index)
         for index in range(first, first + count)
@@ -25,7 +25,7 @@
 
 
 class StorageTestCase(unittest.TestCase):
-    """Works in a directory of its own."""
+    """Provides an empty data directory for each test."""
 
     def setUp(self) -> None:
         temporary = tempfile.TemporaryDirectory()
@@ -67,7 +67,7 @@
 
 
 class TornTailTest(StorageTestCase):
-    """Guards against a crash in a write that makes the log unreadable."""
+    """Guards against a log that is unreadable after a crash during a write."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -81,7 +81,7 @@
     def check_survives(self, content: bytes, entries: int) -> None:
         self.log.write_bytes(content)
         self.assertEqual(tuple(make_entries(1, entries)), self.load().entries)
-        # What follows the cut must be readable again.
+        # Records written after the truncation must be readable.
         self.write([_core_types.TermRecord(2, 'm2')])
         self.assertEqual(2, self.load().term)
 
@@ -94,7 +94,7 @@
                 self.check_survives(self.content[:size], 0)
 
     def test_zeros_from_each_byte(self) -> None:
-        """A file may have grown although its data was not written."""
+        """After a crash, a file may have its new size but not its new data."""
         for size in range(self.sizes[1], self.sizes[2] - 1):
             with self.subTest(size=size):
                 zeros = bytes(self.sizes[2] - size)
@@ -132,7 +132,7 @@
 
 
 class IdentityTest(StorageTestCase):
-    """Guards against a directory used by the wrong member."""
+    """Guards against a directory that is damaged or used by a wrong member."""
 
     def test_store_id_is_kept(self) -> None:
         self.open().close()
@@ -178,7 +178,7 @@
 
 
 class FailedSyncTest(StorageTestCase):
-    """Guards against answers that rest on data that was not synced."""
+    """Guards against answers based on data that was not synced."""
 
     def test_nothing_is_written_after_a_failed_sync(self) -> None:
         storage = self.open()
@@ -203,7 +203,7 @@
 
 
 class SnapshotTest(StorageTestCase):
-    """Guards against a snapshot that does not fit its log."""
+    """Guards against a snapshot that does not match its log."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -229,7 +229,7 @@
         self.assertEqual((3, None), (state.term, state.vote))
 
     def test_crash_between_snapshot_and_log(self) -> None:
-        """The old log still stands beside the new snapshot."""
+        """The new snapshot is on disk, but the log is still the old one."""
         received = _core_types.make_snapshot(
             9, 2, wire.GroupMembers(), b'state'
         )
@@ -278,7 +278,7 @@
         self.assertEqual([], list(self.directory.glob('*.tmp')))
 
     def test_files_hold_what_the_replica_recorded(self) -> None:
-        """The state read back equals that of the simulated disk."""
+        """The state read from files equals that of the simulated disk."""
         for seed in range(4):
             with self.subTest(seed=seed):
                 self._compare_with_simulation(seed)
@@ -318,7 +318,7 @@
 
 
 class FrameTest(unittest.TestCase):
-    """Guards against zero bytes that pass as frames."""
+    """Guards against zero bytes that are read as valid frames."""
 
     def test_zeros_are_no_frame(self) -> None:
         zeros = memoryview(bytes(64))
