--- a/fulmarseam/consensus/__init__.py
+++ b/fulmarseam/consensus/__init__.py
@@ -1,8 +1,7 @@
 """The replicated log of the control group.
 
 A `Member` replicates the commands of a `StateMachine` to the other members
-of its group. The owner passes it each message of a type in `PEER_MESSAGES`
-by `handle`::
+of its group. Pass messages of the types in `PEER_MESSAGES` to `handle`::
 
     member = consensus.Member(
         consensus.MemberSettings.from_control(loaded), state_machine
@@ -30,12 +29,12 @@
 __all__ = [
     'PEER_MESSAGES',
     'DiscoverySettings',
-    'StateMachine',
     'Member',
     'MemberSettings',
     'MemberStatus',
     'Role',
+    'StateMachine',
     'StorageFailedError',
-    'load_or_assign_member_id',
     'clear_directory',
+    'load_or_assign_member_id',
 ]
--- a/fulmarseam/consensus/_core_change.py
+++ b/fulmarseam/consensus/_core_change.py
@@ -43,7 +43,7 @@
     return errors.FulmarseamError(errors.ErrorKind.INVALID_EDIT, detail)
 
 
-def _require_no_pending_change(state: _core_state.State) -> None:
+def _require_change_allowed(state: _core_state.State) -> None:
     if not _can_change(state):
         raise _make_refusal(
             'members: found a change in progress, expected none'
@@ -69,7 +69,7 @@
             f'member: found {info.member}, expected an id that this group '
             'has never had'
         )
-    _require_no_pending_change(state)
+    _require_change_allowed(state)
     learner = msgspec.structs.replace(info, voter=False)
     changed = wire.GroupMembers([*members.members, learner], members.retired)
     effects.first_index = _append_change(state, changed, effects)
@@ -81,7 +81,7 @@
     member: ids.MemberId,
     effects: _core_types.Effects,
 ) -> None:
-    """Append the change that removes a member for good.
+    """Append the change that removes a member permanently.
 
     Raises `errors.FulmarseamError` with `INVALID_EDIT`, also when less than
     a majority of the remaining voters has answered recently.
@@ -94,7 +94,7 @@
         raise _make_refusal(
             f'member: found {member}, expected a member of the group'
         )
-    _require_no_pending_change(state)
+    _require_change_allowed(state)
     remaining = [info for info in members.members if info.member != member]
     changed = wire.GroupMembers(remaining, [*members.retired, member])
     reachable = _list_reachable(state, now)
--- a/fulmarseam/consensus/_core_founding.py
+++ b/fulmarseam/consensus/_core_founding.py
@@ -48,11 +48,11 @@
     initial: Mapping[ids.MemberId, settings.MemberAddress],
     join: bool,
     answers: Sequence[wire.IdentityResponse],
-    new_group: str,
+    new_group_id: str,
 ) -> BindingDecision:
     """Decide whether to found a group, join one, wait or give up.
 
-    `new_group` is the id of the group in case this member founds it.
+    `new_group_id` is the id of the group in case this member founds it.
     """
     for answer in answers:
         if not answer.group:
@@ -64,7 +64,7 @@
             return BindingDecision(founding=founding)
     if join or identity.member != min(initial):
         return BindingDecision()
-    return _try_found_group(identity, initial, answers, new_group)
+    return _try_found_group(identity, initial, answers, new_group_id)
 
 
 def has_conflicting_identity(
@@ -96,7 +96,7 @@
     identity: Identity,
     initial: Mapping[ids.MemberId, settings.MemberAddress],
     answers: Sequence[wire.IdentityResponse],
-    new_group: str,
+    new_group_id: str,
 ) -> BindingDecision:
     stores = {answer.member: answer.store for answer in answers}
     stores[identity.member] = identity.store_id
@@ -114,6 +114,6 @@
     ]
     return BindingDecision(
         founding=wire.Founding(
-            group=new_group, members=wire.GroupMembers(members)
+            group=new_group_id, members=wire.GroupMembers(members)
         )
     )
--- a/fulmarseam/consensus/_core_leader.py
+++ b/fulmarseam/consensus/_core_leader.py
@@ -88,7 +88,7 @@
 def _reset_stalled(
     state: _core_state.State, now: float, peer: _core_state.Peer
 ) -> None:
-    """Prepare a peer for resending after an election timeout."""
+    """Prepare to resend what was not answered in an election timeout."""
     is_pending = peer.awaiting_response or bool(peer.in_flight)
     if (
         not is_pending
@@ -135,7 +135,7 @@
     peer: _core_state.Peer,
     effects: _core_types.Effects,
 ) -> bool:
-    """Send what the peer is ready for; return whether anything was sent."""
+    """Send what the peer lacks, within limits; return if any was sent."""
     sent = False
     while _can_send(state, peer):
         in_transfer = peer.mode is _core_state.PeerMode.SNAPSHOT
@@ -221,7 +221,7 @@
     response: wire.SnapshotResponse,
     effects: _core_types.Effects,
 ) -> None:
-    """Continue a snapshot transfer, or the log after its end."""
+    """Continue a snapshot transfer, or the log after it."""
     peer = _record_response(
         state, now, sender, response.term, response.round, effects
     )
@@ -294,7 +294,7 @@
 def _update_progress(
     state: _core_state.State, now: float, effects: _core_types.Effects
 ) -> None:
-    """Update rounds, commit index and membership after an event."""
+    """Update the rounds, the commit index and the membership."""
     _core_rounds.update_confirmed_round(state)
     _commit(state, effects)
     if _core_change.is_own_removal_committed(state):
--- a/fulmarseam/consensus/_core_rounds.py
+++ b/fulmarseam/consensus/_core_rounds.py
@@ -20,7 +20,7 @@
     answered = [
         rounds.current
         if voter == state.member_id
-        else _acked_round(state, voter)
+        else _last_acknowledged_round(state, voter)
         for voter in _core_members.list_voters(state.members)
     ]
     reached = _core_members.majority_value(answered)
@@ -30,16 +30,15 @@
         )
 
 
-def _acked_round(state: _core_state.State, voter: ids.MemberId) -> int:
+def _last_acknowledged_round(
+    state: _core_state.State, voter: ids.MemberId
+) -> int:
     peer = state.peers.get(voter)
     return peer.acknowledged_round if peer else 0
 
 
 def last_confirmation_start(state: _core_state.State) -> float:
-    """Return when the last confirmed round started.
-
-    Without a confirmed round it is when this member became the leader.
-    """
+    """Return when the last confirmed round, or the leadership, started."""
     start = state.rounds.confirmed_start
     return state.leader_since if start is None else start
 
--- a/fulmarseam/consensus/_core_state.py
+++ b/fulmarseam/consensus/_core_state.py
@@ -27,11 +27,10 @@
 class Peer:
     """The replication state that a leader keeps for another member.
 
-    `in_flight` holds the last index of each append that is not answered
-    yet. `last_activity_at` is when the peer last made progress or was sent
-    the first message of those not answered. `awaiting_response` is set
+    `in_flight` holds the last index of each unanswered append.
+    `last_activity_at` is when the peer last made progress, or when the first
+    of its unanswered messages was sent. `awaiting_response` is set
     while the single message of PROBE or SNAPSHOT is not answered.
-    `acknowledged_round` is the newest round that the peer has answered.
     """
 
     next_index: int
@@ -123,8 +122,8 @@
     def can_campaign(self) -> bool:
         """Return whether this member may stand for election.
 
-        Besides the voters, a member may whose removal is in its log but not
-        committed: its log may be the only one complete enough to lead.
+        It must be a voter, or have been one until an uncommitted removal:
+        its log may then be the only one that is complete enough to lead.
         """
         committed = self.member_history.members_at(self.commit_index)
         voters = [
--- a/fulmarseam/consensus/_core_transfer.py
+++ b/fulmarseam/consensus/_core_transfer.py
@@ -65,7 +65,7 @@
     """Send the next chunk of a snapshot."""
     if peer.snapshot is None:
         raise AssertionError(
-            f'found no snapshot to send to {member}, expected one'
+            f'found no snapshot, expected one to send to {member}'
         )
     meta, data = peer.snapshot
     end = peer.snapshot_offset + state.config.chunk_bytes
--- a/fulmarseam/consensus/_discovery.py
+++ b/fulmarseam/consensus/_discovery.py
@@ -159,7 +159,7 @@
         return None
 
     def try_found_group(
-        self, answers: list[wire.IdentityResponse], new_group: str
+        self, answers: list[wire.IdentityResponse], new_group_id: str
     ) -> wire.Founding | None:
         """Return the founding of a new group if this member may found it."""
         if not self.is_founder or any(answer.group for answer in answers):
@@ -180,10 +180,10 @@
         _log.info(
             telemetry.format_event(
                 'group_founded',
-                group=new_group,
+                group=new_group_id,
                 members=','.join(info.member for info in candidates),
             )
         )
         return wire.Founding(
-            group=new_group, members=wire.GroupMembers(candidates)
+            group=new_group_id, members=wire.GroupMembers(candidates)
         )
--- a/fulmarseam/consensus/_repair.py
+++ b/fulmarseam/consensus/_repair.py
@@ -37,9 +37,8 @@
 class SilenceTracker:
     """Tracks how long ago each member last answered; times in seconds.
 
-    The silence of a member starts at its first update at the earliest, so
-    that a new leader does not count every member as silent, and a new member
-    does not count as silent either.
+    A member counts as heard at its first update. Otherwise a new member, or
+    every member after a change of the leader, would count as silent.
     """
 
     def __init__(self) -> None:
@@ -90,7 +89,7 @@
                 return RemoveMember(former.member)
     if new_members:
         return AddLearner(new_members[0])
-    return _find_silent_member(leader, members, silences, wanted_voters)
+    return _plan_removal(leader, members, silences, wanted_voters)
 
 
 def _is_new(members: wire.GroupMembers, info: wire.MemberInfo) -> bool:
@@ -100,7 +99,7 @@
     )
 
 
-def _find_silent_member(
+def _plan_removal(
     leader: ids.MemberId,
     members: wire.GroupMembers,
     silences: Mapping[ids.MemberId, float],
--- a/fulmarseam/consensus/_runtime_binding.py
+++ b/fulmarseam/consensus/_runtime_binding.py
@@ -113,14 +113,14 @@
     async def _discover(self, discovery: _interface.DiscoverySettings) -> None:
         if self.identity.founding is not None:
             return
-        me = wire.MemberInfo(
+        own_info = wire.MemberInfo(
             member=self.identity.member,
             address=self._settings.address,
             region=self._settings.region,
             store=self.identity.store_id,
             host=discovery.host,
         )
-        finder = _discovery.GroupFinder(discovery, me, self.candidates)
+        finder = _discovery.GroupFinder(discovery, own_info, self.candidates)
         self._finder = finder
         while self.identity.founding is None:
             answers = await finder.query_all()
@@ -164,8 +164,8 @@
         """
         if replica is None:
             return False
-        me = self.identity.member
-        if me in replica.members.retired:
+        member_id = self.identity.member
+        if member_id in replica.members.retired:
             return True
         if replica.leader is not None or self._settings.discovery is None:
             self._unlisted_checks = 0
@@ -181,10 +181,11 @@
             for answer in answers
             if answer is not None and answer.group == self.group
         ]
-        if any(me in members.retired for members in member_lists):
+        if any(member_id in members.retired for members in member_lists):
             return True
         if not member_lists or any(
-            _core_members.find_member(members, me) for members in member_lists
+            _core_members.find_member(members, member_id)
+            for members in member_lists
         ):
             self._unlisted_checks = 0
             return False
@@ -229,7 +230,7 @@
 
 
 async def fetch_store_id(
-    me: ids.MemberId,
+    sender: ids.MemberId,
     group: str,
     member: ids.MemberId,
     address: str,
@@ -241,7 +242,9 @@
     `INVALID_EDIT` if another member or a member of another group answers.
     """
     async with transport.RpcClient(address) as client:
-        answer = await client.call(wire.IdentityRequest(sender=me), timeout_s)
+        answer = await client.call(
+            wire.IdentityRequest(sender=sender), timeout_s
+        )
     if not isinstance(answer, wire.IdentityResponse):
         raise errors.TransportError(
             f'{address}: found no member of a control group, expected one'
--- a/fulmarseam/consensus/_runtime_driver.py
+++ b/fulmarseam/consensus/_runtime_driver.py
@@ -149,10 +149,7 @@
         )
 
     def leading_term(self) -> ids.Term | None:
-        """Return the term that this member leads, or None.
-
-        It is set once an entry of the term was applied.
-        """
+        """Return the term that this member leads and has applied in."""
         if self.replica is None or self.replica.leading_term is None:
             return None
         return ids.Term(self.replica.leading_term)
--- a/fulmarseam/consensus/_storage.py
+++ b/fulmarseam/consensus/_storage.py
@@ -79,7 +79,7 @@
 
     def __init__(self, directory: str, member: ids.MemberId) -> None:
         self._directory = pathlib.Path(directory)
-        self._member = member
+        self._member_id = member
         self._identity_path = self._directory / 'identity'
         self._log_path = self._directory / 'log'
         self._log_file = -1
@@ -104,18 +104,18 @@
             ) from error
         try:
             self._acquire_lock()
-            return self._read_or_make_identity(new_store_id)
+            return self._read_or_create_identity(new_store_id)
         except BaseException:
             self.close()
             raise
 
-    def _read_or_make_identity(
+    def _read_or_create_identity(
         self, new_store_id: str
     ) -> _core_founding.Identity:
         if self._identity_path.exists():
             return self._read_identity()
         self._require_empty()
-        identity = _core_founding.Identity(self._member, new_store_id)
+        identity = _core_founding.Identity(self._member_id, new_store_id)
         self._write_identity(identity)
         return identity
 
@@ -149,10 +149,10 @@
             raise errors.DamagedDataError(
                 f'{path}: offset 0: {error}; {_storage_frames.REMEDY}'
             ) from error
-        if found.member != self._member:
+        if found.member != self._member_id:
             raise errors.DamagedDataError(
                 f'{path}: found member {found.member}, expected '
-                f'{self._member}; each member needs its own data_dir'
+                f'{self._member_id}; each member needs its own data_dir'
             )
         if found.founding is not None and not self._log_path.exists():
             raise errors.DamagedDataError(
