--- a/fulmarseam/consensus/__init__.py
+++ b/fulmarseam/consensus/__init__.py
@@ -1,10 +1,10 @@
 """The replicated log of the control group.
 
-A `Member` replicates the commands of a `StateMachine` to the other members of
-its group. Messages of the types in `PEER_MESSAGES` belong to `handle`::
+A `Member` replicates the commands of a `StateMachine` to the other members
+of its group. Pass messages of the types in `PEER_MESSAGES` to `handle`::
 
     member = consensus.Member(
-        consensus.MemberSettings.from_control(loaded), machine
+        consensus.MemberSettings.from_control(loaded), state_machine
     )
     async with member:
         result = await member.propose(b'command')
@@ -29,12 +29,12 @@
 __all__ = [
     'PEER_MESSAGES',
     'DiscoverySettings',
-    'StateMachine',
     'Member',
     'MemberSettings',
     'MemberStatus',
     'Role',
+    'StateMachine',
     'StorageFailedError',
-    'load_or_assign_member_id',
     'clear_directory',
+    'load_or_assign_member_id',
 ]
--- a/fulmarseam/consensus/_runtime_group.py
+++ b/fulmarseam/consensus/_runtime_binding.py
@@ -19,17 +19,18 @@
 from fulmarseam.consensus import _interface
 from fulmarseam.consensus import _storage
 
-# How often the initial members are asked until this one is bound.
-POLL_S = 0.1
-# Checks in a row, 0.3 s apart, in which no member lists this one, before it
-# takes itself for forgotten. A change under way is listed within one.
-UNLISTED_CHECKS = 4
+# How often an unbound member queries the initial members.
+POLL_INTERVAL_S = 0.1
+# A member considers itself removed after this many consecutive checks, 0.3 s
+# apart, in which no other member lists it. A change in progress is listed
+# within one check.
+MAX_UNLISTED_CHECKS = 4
 
 _log = logbook.Logger('consensus')
 
 
-class Binding:
-    """The identity of a member; `on_bound` starts the replica."""
+class GroupBinding:
+    """Finds the group of a member; `on_bound` then starts the replica."""
 
     def __init__(
         self,
@@ -41,18 +42,18 @@
         self._storage = storage
         self._on_bound = on_bound
         self.identity = _core_founding.Identity(settings.member_id, '')
-        self.candidates = _discovery.Candidates()
-        self._finder: _discovery.Finder | None = None
-        self._unlisted = 0
+        self.candidates = _discovery.JoinCandidates()
+        self._finder: _discovery.GroupFinder | None = None
+        self._unlisted_checks = 0
 
     @property
     def group(self) -> str:
-        """Return the id of the group, or an empty text."""
+        """Return the id of the group, or an empty string if unbound."""
         founding = self.identity.founding
         return founding.group if founding else ''
 
     def open(self) -> None:
-        """Read the identity; a bound member, or a group of one, starts.
+        """Read the identity; start a bound member or a group of one member.
 
         Raises `errors.DamagedDataError`.
         """
@@ -60,43 +61,43 @@
         if self.identity.founding is not None:
             self._on_bound(self.identity.founding)
         elif self._settings.discovery is None:
-            self._decide([])
+            self._decide_binding([])
 
-    def check_addressee(self, message: wire.MemberRequest) -> None:
+    def check_recipient(self, message: wire.MemberRequest) -> None:
         """Refuse a message for another group or another data directory.
 
-        A member that joins is bound to the group that sends it the first
-        message. Raises `errors.DamagedDataError` when the group knows this
-        member by a directory that is lost, and `errors.FulmarseamError`
-        with `UNAVAILABLE` otherwise.
+        The first message that a joining member receives binds it to the
+        sender's group. Raises `errors.DamagedDataError` if the group knows
+        this member by a directory that is lost, and `errors.FulmarseamError`
+        with `UNAVAILABLE` in other cases.
         """
         identity = self.identity
         if identity.founding is None:
-            if message.store == identity.store:
+            if message.store == identity.store_id:
                 self._bind_if_joining(message.group)
             elif self._settings.discovery is None:
                 raise errors.DamagedDataError(
                     _core_founding.describe_refusal(identity)
                 )
-            # Found by discovery, the message is for the former identity of
-            # a host that lost its directory.
+            # With discovery, such a message is meant for the former member
+            # of a host that has lost its directory.
             identity = self.identity
-        if (message.group, message.store) != (self.group, identity.store):
+        if (message.group, message.store) != (self.group, identity.store_id):
             raise errors.FulmarseamError(
                 errors.ErrorKind.UNAVAILABLE,
                 f'{identity.member}: found a message for group '
                 f'{message.group}, store {message.store}, expected group '
-                f'{self.group or "none"}, store {identity.store}',
+                f'{self.group or "none"}, store {identity.store_id}',
             )
 
     def _bind_if_joining(self, group: str) -> None:
-        """Bind this member to a group whose leader has added it.
+        """Bind this member, if it is joining, to the group that added it.
 
-        A member that is still to learn of a founding that names it must
-        not start without the members that the founding lists.
+        A member that the founding record lists must not start before it has
+        received that record with its members.
         """
         if self._finder is not None:
-            is_joining = self._finder.group == group
+            is_joining = self._finder.joinable_group == group
         else:
             is_joining = self._settings.join
         if is_joining:
@@ -105,40 +106,40 @@
     async def run(self) -> None:
         """Find the group and bind this member to it."""
         if self._settings.discovery is None:
-            await self._ask_initial_members()
+            await self._poll_initial_members()
         else:
             await self._discover(self._settings.discovery)
 
     async def _discover(self, discovery: _interface.DiscoverySettings) -> None:
         if self.identity.founding is not None:
             return
-        me = wire.MemberInfo(
+        own_info = wire.MemberInfo(
             member=self.identity.member,
             address=self._settings.address,
             region=self._settings.region,
-            store=self.identity.store,
+            store=self.identity.store_id,
             host=discovery.host,
         )
-        finder = _discovery.Finder(discovery, me, self.candidates)
+        finder = _discovery.GroupFinder(discovery, own_info, self.candidates)
         self._finder = finder
         while self.identity.founding is None:
-            answers = await finder.ask_all()
+            answers = await finder.query_all()
             founding = finder.find_founding(answers)
-            if founding is None and not finder.group:
-                founding = finder.try_to_found(answers, uuid.uuid4().hex)
+            if founding is None and not finder.joinable_group:
+                founding = finder.try_found_group(answers, uuid.uuid4().hex)
             if founding is not None and self.identity.founding is None:
                 self._bind(founding)
-            await asyncio.sleep(_discovery.ASK_INTERVAL_S)
+            await asyncio.sleep(_discovery.QUERY_INTERVAL_S)
 
-    async def _ask_initial_members(self) -> None:
-        """Ask the initial members until this one is bound.
+    async def _poll_initial_members(self) -> None:
+        """Query the initial members until this member is bound.
 
         Raises `errors.DamagedDataError` when the group knows this member
         by another data directory.
         """
         addresses = [
-            place.address
-            for member, place in self._settings.members.items()
+            location.address
+            for member, location in self._settings.members.items()
             if member != self.identity.member
         ]
         async with contextlib.AsyncExitStack() as stack:
@@ -148,52 +149,56 @@
             ]
             while self.identity.founding is None:
                 answers = await asyncio.gather(
-                    *(self._ask(client) for client in clients)
+                    *(self._query_identity(client) for client in clients)
                 )
                 if self.identity.founding is None:
-                    self._decide([item for item in answers if item])
-                await asyncio.sleep(POLL_S)
+                    self._decide_binding([item for item in answers if item])
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def is_retired(self, replica: _core.Replica | None) -> bool:
-        """Return whether the group does without this member for good.
+    async def is_removed(self, replica: _core.Replica | None) -> bool:
+        """Return whether this member is permanently out of the group.
 
-        Either it lists the member as removed, or nobody lists it at all:
-        the change that added it was lost with the leader that proposed it.
+        Either the group lists it as removed, or no member lists it at all,
+        because the change that added it was lost with the leader that
+        proposed it.
         """
         if replica is None:
             return False
-        me = self.identity.member
-        if me in replica.members.retired:
+        member_id = self.identity.member
+        if member_id in replica.members.retired:
             return True
         if replica.leader is not None or self._settings.discovery is None:
-            self._unlisted = 0
+            self._unlisted_checks = 0
             return False
         addresses = {info.address for info in replica.members.members}
         addresses.update(self._settings.discovery.seeds)
         addresses.discard(self._settings.address)
         answers = await asyncio.gather(
-            *(self._ask_member(address) for address in sorted(addresses))
+            *(self._query_address(address) for address in sorted(addresses))
         )
-        lists = [
+        member_lists = [
             answer.members
             for answer in answers
             if answer is not None and answer.group == self.group
         ]
-        if any(me in members.retired for members in lists):
+        if any(member_id in members.retired for members in member_lists):
             return True
-        if not lists or any(
-            _core_members.find_member(members, me) for members in lists
+        if not member_lists or any(
+            _core_members.find_member(members, member_id)
+            for members in member_lists
         ):
-            self._unlisted = 0
+            self._unlisted_checks = 0
             return False
-        self._unlisted += 1
-        return self._unlisted >= UNLISTED_CHECKS
+        self._unlisted_checks += 1
+        return self._unlisted_checks >= MAX_UNLISTED_CHECKS
 
-    async def _ask_member(self, address: str) -> wire.IdentityResponse | None:
+    async def _query_address(
+        self, address: str
+    ) -> wire.IdentityResponse | None:
         async with transport.RpcClient(address) as client:
-            return await self._ask(client)
+            return await self._query_identity(client)
 
-    async def _ask(
+    async def _query_identity(
         self, client: transport.RpcClient
     ) -> wire.IdentityResponse | None:
         try:
@@ -205,8 +210,8 @@
             return None
         return answer if isinstance(answer, wire.IdentityResponse) else None
 
-    def _decide(self, answers: list[wire.IdentityResponse]) -> None:
-        decision = _core_founding.decide(
+    def _decide_binding(self, answers: list[wire.IdentityResponse]) -> None:
+        decision = _core_founding.decide_binding(
             self.identity,
             self._settings.members,
             self._settings.join,
@@ -224,23 +229,25 @@
         self._on_bound(founding)
 
 
-async def fetch_store(
-    me: ids.MemberId,
+async def fetch_store_id(
+    sender: ids.MemberId,
     group: str,
     member: ids.MemberId,
     address: str,
     timeout_s: float,
 ) -> str:
-    """Return the store id of a member that wants to join the group.
+    """Return the store id of a member that is to join the group.
 
     Raises `errors.TransportError`, or `errors.FulmarseamError` with
-    `INVALID_EDIT` when another member or one of another group answers.
+    `INVALID_EDIT` if another member or a member of another group answers.
     """
     async with transport.RpcClient(address) as client:
-        answer = await client.call(wire.IdentityRequest(sender=me), timeout_s)
+        answer = await client.call(
+            wire.IdentityRequest(sender=sender), timeout_s
+        )
     if not isinstance(answer, wire.IdentityResponse):
         raise errors.TransportError(
-            f'{address}: found no member of a control group'
+            f'{address}: found no member of a control group, expected one'
         )
     if answer.member != member or answer.group not in ('', group):
         raise errors.FulmarseamError(
--- a/fulmarseam/consensus/_storage_frames.py
+++ b/fulmarseam/consensus/_storage_frames.py
@@ -1,8 +1,8 @@
 """Frames of the log file: length, CRC-32 and payload.
 
 One frame is written and synced at a time, so only the last frame of a file
-can be incomplete after a crash. A damaged frame with data after it is
-refused instead of truncated.
+can be incomplete after a crash. A damaged frame that is followed by data is
+an error and is not truncated.
 """
 
 from collections.abc import Iterator
@@ -19,18 +19,18 @@
     'join: true'
 )
 HEADER = struct.Struct('<II')
-# A checksum that starts at 0 would accept a run of zero bytes as frames.
-_CHECKSUM_START = 0x66756C6D
+# With the seed 0, a run of zero bytes would pass as valid frames.
+_CHECKSUM_SEED = 0x66756C6D
 
 
 def make_frame(payload: bytes) -> bytes:
-    """Return length, CRC-32 and payload; the checksum covers both others."""
+    """Return a frame; its CRC-32 covers the length and the payload."""
     length = len(payload)
     return HEADER.pack(length, _compute_checksum(length, payload)) + payload
 
 
 def _compute_checksum(length: int, payload: bytes | memoryview) -> int:
-    start = zlib.crc32(length.to_bytes(4, 'little'), _CHECKSUM_START)
+    start = zlib.crc32(length.to_bytes(4, 'little'), _CHECKSUM_SEED)
     return zlib.crc32(payload, start)
 
 
@@ -47,10 +47,10 @@
 
 
 def _is_torn_tail(data: memoryview, offset: int) -> bool:
-    """Return whether the bad frame at `offset` can be an unfinished write.
+    """Return whether the damaged frame at `offset` may be a partial write.
 
-    It cannot when a whole frame follows, or when its length ends inside
-    the file and other than zero bytes follow.
+    It is not if a valid frame follows, or if the frame ends inside the file
+    and is followed by bytes other than zero.
     """
     for later in range(offset + 1, len(data) - HEADER.size):
         if read_frame(data, later) is not None:
@@ -65,10 +65,10 @@
 def read_frames(
     path: pathlib.Path, data: memoryview
 ) -> Iterator[tuple[int, memoryview]]:
-    """Yield offset and payload of each frame up to a torn tail.
+    """Yield the offset and payload of each frame up to a torn tail.
 
     The first frame is written together with the file, so it cannot be
-    torn. Raises `errors.DamagedDataError`.
+    incomplete. Raises `errors.DamagedDataError`.
     """
     offset = 0
     while offset < len(data) or offset == 0:
@@ -76,7 +76,9 @@
         if payload is None:
             if offset > 0 and _is_torn_tail(data, offset):
                 return
-            raise describe_damage(path, offset, 'the checksum does not match')
+            raise make_damage_error(
+                path, offset, 'the checksum does not match'
+            )
         yield offset, payload
         offset += HEADER.size + len(payload)
 
@@ -86,7 +88,7 @@
     try:
         return path.read_bytes()
     except OSError as error:
-        raise describe_damage(path, 0, str(error.strerror)) from error
+        raise make_damage_error(path, 0, str(error.strerror)) from error
 
 
 def write_all(file: int, data: bytes) -> None:
@@ -96,10 +98,10 @@
         view = view[os.write(file, view) :]
 
 
-def describe_damage(
+def make_damage_error(
     path: pathlib.Path, offset: int, reason: str
 ) -> errors.DamagedDataError:
-    """Return the error that names the file, the offset and the remedy."""
+    """Return an error with the file, the offset and the remedy."""
     return errors.DamagedDataError(
         f'{path}: offset {offset}: {reason}; {REMEDY}'
     )
--- a/fulmarseam/consensus/_storage_replay.py
+++ b/fulmarseam/consensus/_storage_replay.py
@@ -1,4 +1,4 @@
-"""Reading of the log file and of snapshots."""
+"""Reading of the log file and of snapshot files."""
 
 import pathlib
 import zlib
@@ -13,7 +13,7 @@
 
 
 class LogStart(msgspec.Struct, tag='start', frozen=True):
-    """First record of a log file: it follows (`index`, `term`)."""
+    """First record of a log file; the log follows `index` and `term`."""
 
     version: int
     index: int
@@ -25,8 +25,8 @@
 _meta_decoder = msgspec.msgpack.Decoder(wire.SnapshotMeta)
 
 
-class Replay:
-    """Puts the records of a log file together."""
+class LogReplay:
+    """Rebuilds the term, the vote and the log from the records of a file."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
@@ -35,20 +35,20 @@
         self._entries: list[wire.LogEntry] = []
 
     def add_frame(self, offset: int, payload: memoryview) -> None:
-        """Take over the records of one frame."""
+        """Apply the records of one frame."""
         try:
             records = _records_decoder.decode(payload)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            raise _storage_frames.describe_damage(
+            raise _storage_frames.make_damage_error(
                 self._path, offset, str(error)
             ) from error
         for record in records:
-            if not self._add(record):
-                raise _storage_frames.describe_damage(
-                    self._path, offset, 'the records do not fit together'
+            if not self._apply(record):
+                raise _storage_frames.make_damage_error(
+                    self._path, offset, 'the records are inconsistent'
                 )
 
-    def _add(self, record: LogRecord) -> bool:
+    def _apply(self, record: LogRecord) -> bool:
         if isinstance(record, LogStart):
             is_first = self._start is None
             self._start = record
@@ -65,44 +65,45 @@
     ) -> bool:
         if not entries:
             return True
-        keep = entries[0].index - start.index - 1
-        if not 0 <= keep <= len(self._entries):
+        kept_count = entries[0].index - start.index - 1
+        if not 0 <= kept_count <= len(self._entries):
             return False
-        del self._entries[keep:]
+        del self._entries[kept_count:]
         self._entries.extend(entries)
         return entries[-1].index == start.index + len(self._entries)
 
     @property
     def base_index(self) -> int:
-        """Return the index that the log file starts after."""
+        """Return the index before the first entry of the log file."""
         return self._start.index if self._start else 0
 
-    def finish(
+    def build_state(
         self,
-        founding: wire.GroupMembers,
+        initial_members: wire.GroupMembers,
         snapshot: _core_types.Snapshot | None,
     ) -> _core_types.DurableState:
-        """Return the state, with the log fitted to the snapshot."""
+        """Return the state; drop the log if it does not match the snapshot."""
         if self._start is None:
-            raise _storage_frames.describe_damage(
+            raise _storage_frames.make_damage_error(
                 self._path, 0, 'the file is empty'
             )
         base = (self._start.index, self._start.term)
         entries = self._entries
-        covered = snapshot.meta.index if snapshot else 0
-        if base[0] > covered:
-            raise _storage_frames.describe_damage(
+        snapshot_index = snapshot.meta.index if snapshot else 0
+        if base[0] > snapshot_index:
+            raise _storage_frames.make_damage_error(
                 self._path,
                 0,
                 f'the log starts after {base[0]} but the newest snapshot '
-                f'covers {covered}',
+                f'covers {snapshot_index}',
             )
-        if snapshot and self._find_term(covered) != snapshot.meta.term:
-            # A crash came between the snapshot and the log that fits it.
-            base = (covered, snapshot.meta.term)
+        if snapshot and self._find_term(snapshot_index) != snapshot.meta.term:
+            # A crash happened after the snapshot was written and before the
+            # log was rewritten.
+            base = (snapshot_index, snapshot.meta.term)
             entries = []
         return _core_types.DurableState(
-            initial_members=founding,
+            initial_members=initial_members,
             term=self._term.term,
             vote=self._term.vote,
             base_index=base[0],
@@ -127,17 +128,17 @@
     data = memoryview(_storage_frames.read_file(path))
     payload = _storage_frames.read_frame(data, 0)
     if payload is None:
-        raise _storage_frames.describe_damage(
+        raise _storage_frames.make_damage_error(
             path, 0, 'the checksum does not match'
         )
     try:
         meta = _meta_decoder.decode(payload)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise _storage_frames.describe_damage(path, 0, str(error)) from error
+        raise _storage_frames.make_damage_error(path, 0, str(error)) from error
     start = _storage_frames.HEADER.size + len(payload)
     state = bytes(data[start:])
     if len(state) != meta.size or zlib.crc32(state) != meta.checksum:
-        raise _storage_frames.describe_damage(
+        raise _storage_frames.make_damage_error(
             path, start, 'the checksum does not match'
         )
     return _core_types.Snapshot(meta, state)
