--- a/fulmarseam/catalog/__init__.py
+++ b/fulmarseam/catalog/__init__.py
@@ -1,6 +1,6 @@
 """Versioned configuration items, live targets and evacuations.
 
-The catalog is a deterministic state machine for the replicated log::
+`Catalog` is a deterministic state machine for the replicated log::
 
     machine = catalog.Catalog()
     result = machine.apply(catalog.encode_command(command))
@@ -23,14 +23,14 @@
 
 __all__ = [
     'AnnounceTargets',
-    'HeartbeatTracker',
     'Catalog',
+    'CatalogMirror',
     'Command',
     'DropTargets',
+    'EntryRegistry',
     'EvacuateDomain',
+    'HeartbeatTracker',
     'LeaveTarget',
-    'CatalogMirror',
-    'EntryRegistry',
     'PutItems',
     'ReadRevision',
     'TargetLeases',
--- a/fulmarseam/catalog/_commands.py
+++ b/fulmarseam/catalog/_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the catalog and their codec."""
+"""Commands of the catalog and their encoding."""
 
 import msgspec
 
@@ -7,10 +7,10 @@
 
 
 class PutItems(msgspec.Struct, tag='put_items', frozen=True, kw_only=True):
-    """A call of an operator: versions of items, all or none of them.
+    """Put all items of an operator's call, or none if one is invalid.
 
-    `digest` identifies the call, so that a resend is acknowledged again
-    whatever has changed since.
+    `digest` identifies the call: a resend is acknowledged again, even if
+    it would be invalid by now.
     """
 
     items: list[wire.Item]
@@ -20,7 +20,7 @@
 class AnnounceTargets(
     msgspec.Struct, tag='announce_targets', frozen=True, kw_only=True
 ):
-    """Announcements of targets."""
+    """Add or update the records that targets announced."""
 
     records: list[wire.TargetRecord]
 
@@ -28,9 +28,9 @@
 class LeaveTarget(
     msgspec.Struct, tag='leave_target', frozen=True, kw_only=True
 ):
-    """A target that leaves for good.
+    """Remove a target and reject further announcements of its incarnation.
 
-    `born_ms` 0 means the incarnation that the catalog knows.
+    `born_ms` is the incarnation; 0 means the one in the catalog.
     """
 
     target: ids.TargetId
@@ -40,7 +40,7 @@
 class DropTargets(
     msgspec.Struct, tag='drop_targets', frozen=True, kw_only=True
 ):
-    """Targets that have been silent, with the incarnations meant."""
+    """Remove silent targets, given as pairs of id and incarnation."""
 
     targets: list[tuple[ids.TargetId, int]]
 
@@ -48,14 +48,14 @@
 class EvacuateDomain(
     msgspec.Struct, tag='evacuate_domain', frozen=True, kw_only=True
 ):
-    """Start or end to send nothing to the targets of a failure domain."""
+    """Start or stop keeping requests away from a failure domain."""
 
     failure_domain: ids.DomainName
     active: bool
 
 
 class ReadRevision(msgspec.Struct, tag='read_revision', frozen=True):
-    """Changes nothing; its result is the revision that was agreed on."""
+    """Change nothing; the result is the latest committed revision."""
 
 
 Command = (
@@ -73,14 +73,14 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the form of a command in the log."""
+    """Return a command as it is stored in the log."""
     return _encoder.encode(command)
 
 
 def decode_command(data: bytes) -> Command:
-    """Return the command held in `data`.
+    """Return the command that `encode_command` encoded.
 
-    Raises `errors.WireError` when the data is no known command.
+    Raises `errors.WireError` if the data is not a known command.
     """
     return wire.decode_with(_decoder, data)
 
--- a/fulmarseam/catalog/_heartbeats.py
+++ b/fulmarseam/catalog/_heartbeats.py
@@ -1,20 +1,19 @@
-"""Announcements that need no place in the log, and silence of targets."""
+"""Heartbeats that need no log entry, and the leases of targets."""
 
 from collections.abc import Mapping
 
 from fulmarseam import ids
 from fulmarseam import wire
 
-# An announced cold time this far above the expected one, in ms, means that
-# the target has become cold again. Announcements may be a second late.
+# A target has become cold again if its announced cold time exceeds the
+# expected one by more than this. Announcements may be a second late.
 COLD_MARGIN_MS = 1_000.0
 
 
 class HeartbeatTracker:
-    """Tells announcements that change something from mere renewals.
+    """Tells announcements that change the catalog from plain renewals.
 
-    Times are in seconds. `take_renewed` hands out the targets that have
-    announced themselves since the last call.
+    Times are in seconds of a monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -24,10 +23,13 @@
     def record(
         self,
         now: float,
-        known: wire.TargetRecord | None,
+        current: wire.TargetRecord | None,
         record: wire.TargetRecord,
     ) -> bool:
-        """Record an announcement; return whether the log has to hold it."""
+        """Record an announcement; return whether it must go into the log.
+
+        `current` is the target's record in the catalog, if there is one.
+        """
         self._renewed.add(record.target)
         cold_until = now + record.cold_ms / 1_000
         expected = self._cold_until.get(record.target, 0.0)
@@ -36,52 +38,56 @@
             and cold_until > expected + COLD_MARGIN_MS / 1_000
         )
         self._cold_until[record.target] = cold_until
-        if known is None or known.born_ms != record.born_ms or is_colder:
+        if current is None or current.born_ms != record.born_ms or is_colder:
             return True
-        return _describe(known) != _describe(record)
+        return _get_logged_fields(current) != _get_logged_fields(record)
 
     def take_renewed(self) -> list[ids.TargetId]:
-        """Return the targets that renewed since the last call."""
+        """Return and clear the targets announced since the last call."""
         renewed = sorted(self._renewed)
         self._renewed.clear()
         return renewed
 
 
-def _describe(record: wire.TargetRecord) -> tuple[object, ...]:
+def _get_logged_fields(record: wire.TargetRecord) -> tuple[object, ...]:
     return (record.pool, record.address, record.slots, record.phase)
 
 
 class TargetLeases:
-    """When the leader last heard of each target; times in seconds."""
+    """When each target last announced itself, as known to the leader.
+
+    Times are in seconds of a monotonic clock.
+    """
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s
-        self._heard: dict[ids.TargetId, float] = {}
+        self._heard_at: dict[ids.TargetId, float] = {}
 
     def renew(self, now: float, targets: list[ids.TargetId]) -> None:
-        """Record that targets have announced themselves."""
+        """Extend the leases of targets that announced themselves."""
         for target in targets:
-            self._heard[target] = now
+            self._heard_at[target] = now
 
     def clear(self) -> None:
-        """Forget all times; called when another member leads."""
-        self._heard.clear()
+        """Clear all leases; called while another member leads."""
+        self._heard_at.clear()
 
     def find_expired(
-        self, now: float, known: Mapping[ids.TargetId, wire.TargetRecord]
+        self, now: float, records: Mapping[ids.TargetId, wire.TargetRecord]
     ) -> list[tuple[ids.TargetId, int]]:
-        """Return the targets whose lease has ended, with incarnations.
+        """Return pairs of id and incarnation of targets with ended leases.
 
-        None are returned when more than half are silent: then the members
-        are cut off rather than the targets.
+        A target without a lease gets a new one. The result is empty if
+        more than half of the targets are silent, because then the control
+        members are cut off rather than the targets.
         """
-        for target in self._heard.keys() - known.keys():
-            del self._heard[target]
+        for target in self._heard_at.keys() - records.keys():
+            del self._heard_at[target]
         silent = []
-        for target, record in known.items():
-            heard = self._heard.setdefault(target, now)
-            if now - heard > self._lease_s:
+        for target, record in records.items():
+            heard_at = self._heard_at.setdefault(target, now)
+            if now - heard_at > self._lease_s:
                 silent.append((target, record.born_ms))
-        if 2 * len(silent) > len(known):
+        if 2 * len(silent) > len(records):
             return []
         return silent
--- a/fulmarseam/catalog/_items.py
+++ b/fulmarseam/catalog/_items.py
@@ -7,15 +7,15 @@
 
 ItemKey = tuple[wire.ItemKind, str]
 
-# A target latency this far above the timeout cannot be meant, in ms.
-LATENCY_OVER_TIMEOUT_MS = 60_000.0
+# A target latency this far above the timeout is rejected as a mistake.
+MAX_LATENCY_ABOVE_TIMEOUT_MS = 60_000.0
 
 
 class ItemTable:
-    """The newest version of each item, dropped ones included.
+    """The newest version of each item, including dropped ones.
 
-    A dropped item keeps its version, because an older version that arrives
-    late must not bring it back.
+    A dropped item keeps its version, so that an older version that arrives
+    late does not restore it.
     """
 
     def __init__(self, items: Iterable[wire.Item] = ()) -> None:
@@ -24,7 +24,7 @@
         }
 
     def all(self) -> list[wire.Item]:
-        """Return all items, dropped ones included."""
+        """Return all items, including dropped ones."""
         return list(self._items.values())
 
     def list_live(self) -> list[wire.Item]:
@@ -32,9 +32,9 @@
         return [item for item in self._items.values() if item.row is not None]
 
     def find_problems(self, items: Sequence[wire.Item]) -> list[str]:
-        """Return why a call is invalid, one line for each problem.
+        """Return one line for each problem of a call; none if it is valid.
 
-        A problem counts whether or not the version would take effect.
+        Items are checked even if a newer version is already in force.
         """
         pools = {
             name
@@ -50,16 +50,16 @@
         for item in items:
             if isinstance(item.row, wire.RouteItem):
                 problems.extend(_check_route(item.row, pools))
-        problems.extend(_find_shared_places(items))
+        problems.extend(_find_duplicate_matches(items))
         return problems
 
     def put(self, items: Sequence[wire.Item]) -> list[ItemKey]:
-        """Take over the versions above those held; return their keys."""
+        """Store the items with newer versions; return their keys."""
         changed = []
         for item in items:
             key = (item.kind, item.name)
-            held = self._items.get(key)
-            if held is None or item.version > held.version:
+            current = self._items.get(key)
+            if current is None or item.version > current.version:
                 self._items[key] = item
                 changed.append(key)
         return changed
@@ -97,30 +97,33 @@
             f'route {route.name}: timeout_ms: found {route.timeout_ms:g}, '
             'expected more than 0'
         )
-    highest_ms = route.timeout_ms + LATENCY_OVER_TIMEOUT_MS
-    if route.target_latency_ms >= highest_ms:
+    limit_ms = route.timeout_ms + MAX_LATENCY_ABOVE_TIMEOUT_MS
+    if route.target_latency_ms >= limit_ms:
         problems.append(
             f'route {route.name}: target_latency_ms: found '
             f'{route.target_latency_ms:g}, expected less than '
-            f'{highest_ms:g}'
+            f'{limit_ms:g}'
         )
     return problems
 
 
-def _find_shared_places(items: Sequence[wire.Item]) -> list[str]:
-    """Report routes of one call that match the same requests."""
+def _find_duplicate_matches(items: Sequence[wire.Item]) -> list[str]:
+    """Return a problem for each route of a call that repeats a match.
+
+    Two routes match the same requests if host and path prefix are equal.
+    """
     problems = []
-    places: dict[tuple[str, str], str] = {}
+    route_names: dict[tuple[str, str], str] = {}
     for item in items:
         route = item.row
         if not isinstance(route, wire.RouteItem):
             continue
-        place = (route.host.lower(), route.path_prefix)
-        other = places.setdefault(place, route.name)
+        match_key = (route.host.lower(), route.path_prefix)
+        other = route_names.setdefault(match_key, route.name)
         if other != route.name:
             problems.append(
                 f'route {route.name}: found {route.host}'
-                f'{route.path_prefix}, expected a place that route {other} '
-                'does not have'
+                f'{route.path_prefix}, expected a host and path prefix '
+                f'that route {other} does not have'
             )
     return problems
--- a/fulmarseam/catalog/_machine.py
+++ b/fulmarseam/catalog/_machine.py
@@ -12,19 +12,19 @@
 from fulmarseam.catalog import _items
 from fulmarseam.catalog import _targets
 
-# Accepted calls that are remembered to acknowledge a resend. An operator
-# sends one call again for seconds, with at most eight in progress.
+# Digests of accepted calls that are kept to acknowledge a resend. An
+# operator resends a call for seconds, with at most eight in progress.
 MAX_DIGESTS = 4_096
-# Removed targets that are listed as differences; an entry that is further
-# behind gets the whole state.
+# Removed targets that are kept for incremental changes; an entry that has
+# missed more of them gets the full state.
 MAX_REMOVALS = 2_000
 
 
-# Rows in one answer to an entry, about 100 bytes each. A link of 2.4 Mbit/s
-# that is in use carries so many in a part of a second.
-MAX_ROWS = 200
+# Rows in one answer to an entry, about 100 bytes each. A busy link of
+# 2.4 Mbit/s transfers that many in a fraction of a second.
+MAX_ROWS_PER_ANSWER = 200
 
-# The key of an item or the id of a target.
+# Key of an item, or id of a target.
 _RowKey = _items.ItemKey | ids.TargetId
 
 
@@ -46,9 +46,9 @@
 class Catalog:
     """Applies catalog commands and lists what changed since a revision.
 
-    Members that apply the same commands hold the same state. `notify` is
-    called after each change. Every change of a row has a revision of its
-    own, so that an entry may take any number of them at a time.
+    Members that apply the same commands have the same state. `notify` is
+    called after each change. Every change of a row gets its own revision,
+    so that an entry may fetch any number of changes at a time.
     """
 
     def __init__(self, notify: Callable[[], None] = lambda: None) -> None:
@@ -56,7 +56,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget everything, before a log is applied from its start."""
+        """Clear the state before a log is applied from its start."""
         self.revision = 0
         self.items = _items.ItemTable()
         self.targets = _targets.TargetTable()
@@ -66,8 +66,8 @@
         self._removals: collections.deque[tuple[int, ids.TargetId]] = (
             collections.deque()
         )
-        # Removals up to this revision are no longer known.
-        self._removals_from = 0
+        # Removals up to this revision are no longer in `_removals`.
+        self._removals_trimmed_to = 0
         self._digests: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
@@ -85,11 +85,13 @@
             case _commands.PutItems():
                 problems = self._put_items(decoded)
             case _commands.AnnounceTargets(records=records):
-                self._note_targets(self.targets.announce(records))
+                self._record_target_changes(self.targets.announce(records))
             case _commands.LeaveTarget(target=target, born_ms=born_ms):
-                self._note_targets(self.targets.leave(target, born_ms))
+                self._record_target_changes(
+                    self.targets.leave(target, born_ms)
+                )
             case _commands.DropTargets(targets=targets):
-                self._note_targets(self.targets.drop(targets))
+                self._record_target_changes(self.targets.drop(targets))
             case _commands.EvacuateDomain():
                 self._evacuate(decoded)
         return self._encode_result(problems)
@@ -110,33 +112,33 @@
             self._digests.popitem(last=False)
         changed = self.items.put(command.items)
         for key in changed:
-            self._note_change(key)
+            self._record_change(key)
         if changed:
             self._notify()
         return []
 
-    def _note_change(self, key: _RowKey) -> None:
+    def _record_change(self, key: _RowKey) -> None:
         self.revision += 1
         self._changes.pop(key, None)
         self._changes[key] = self.revision
 
-    def _note_targets(self, changes: _targets.Changes) -> None:
+    def _record_target_changes(self, changes: _targets.ChangedTargets) -> None:
         if not changes:
             return
         for target in changes:
             if self.targets.get(target) is not None:
-                self._note_change(target)
+                self._record_change(target)
             else:
                 self.revision += 1
                 self._changes.pop(target, None)
                 self._removals.append((self.revision, target))
         while len(self._removals) > MAX_REMOVALS:
-            self._removals_from = self._removals.popleft()[0]
+            self._removals_trimmed_to = self._removals.popleft()[0]
         self._notify()
 
     def _evacuate(self, command: _commands.EvacuateDomain) -> None:
-        is_active = command.failure_domain in self.evacuated
-        if is_active == command.active:
+        is_evacuated = command.failure_domain in self.evacuated
+        if is_evacuated == command.active:
             return
         if command.active:
             self.evacuated.add(command.failure_domain)
@@ -150,22 +152,23 @@
     def list_changes(
         self, revision: int, removals_revision: int
     ) -> wire.CatalogChanges:
-        """Return the next changes after `revision`, at most `MAX_ROWS`.
+        """Return up to `MAX_ROWS_PER_ANSWER` changes after `revision`.
 
-        `removals_revision` is up to where the entry knows the removals. One
-        that has missed some which are no longer known starts anew.
+        `removals_revision` is the revision up to which the entry knows all
+        removed targets. An entry that missed removals which are no longer
+        kept gets the full state, from its first row.
         """
-        full = removals_revision < self._removals_from
+        full = removals_revision < self._removals_trimmed_to
         after = 0 if full else revision
-        keys = self._list_changed(after)
-        is_last = len(keys) <= MAX_ROWS
-        keys = keys[:MAX_ROWS]
+        keys = self._list_changed_keys(after)
+        is_last = len(keys) <= MAX_ROWS_PER_ANSWER
+        keys = keys[:MAX_ROWS_PER_ANSWER]
         return wire.CatalogChanges(
             revision=self.revision if is_last else self._changes[keys[-1]],
             newest=self.revision,
             full=full,
             items=[
-                # Entries have no use for the operator's own form.
+                # Entries do not need the operator's original text.
                 msgspec.structs.replace(self.items.get(key), source=b'')
                 for key in keys
                 if isinstance(key, tuple)
@@ -185,8 +188,8 @@
             evacuated=sorted(self.evacuated),
         )
 
-    def _list_changed(self, after: int) -> list[_RowKey]:
-        """Return the rows changed after a revision, the oldest first."""
+    def _list_changed_keys(self, after: int) -> list[_RowKey]:
+        """Return the keys of rows changed after a revision, oldest first."""
         keys = []
         for key, changed_at in reversed(self._changes.items()):
             if changed_at <= after:
@@ -198,7 +201,7 @@
     # Snapshots
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the encoded state."""
         return _encoder.encode(
             _Snapshot(
                 revision=self.revision,
@@ -215,14 +218,14 @@
                 ],
                 ended=self.targets.list_ended(),
                 removals=list(self._removals),
-                removals_from=self._removals_from,
+                removals_from=self._removals_trimmed_to,
                 evacuated=sorted(self.evacuated),
                 digests=list(self._digests),
             )
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by one that `snapshot` returned."""
+        """Replace the state by one that `snapshot` returned."""
         loaded = _decoder.decode(data)
         self.revision = loaded.revision
         self.items = _items.ItemTable(item for _, item in loaded.items)
@@ -240,7 +243,7 @@
         changes.sort(key=lambda change: change[0])
         self._changes = {key: changed_at for changed_at, key in changes}
         self._removals = collections.deque(loaded.removals)
-        self._removals_from = loaded.removals_from
+        self._removals_trimmed_to = loaded.removals_from
         self.evacuated = set(loaded.evacuated)
         self._digests = collections.OrderedDict.fromkeys(loaded.digests)
         self._notify()
--- a/fulmarseam/catalog/_mirror.py
+++ b/fulmarseam/catalog/_mirror.py
@@ -1,17 +1,17 @@
-"""An entry's copy of the catalog."""
+"""An entry's local copy of the catalog."""
 
 from fulmarseam import ids
 from fulmarseam import wire
 
 
 class CatalogMirror:
-    """The items, targets and evacuations that an entry holds.
+    """The items, targets and evacuations that an entry has fetched.
 
-    `revision` only grows, so what is in force never becomes older while
-    the process lives. `is_complete` is set once everything was taken over
-    that was agreed on when the first changes were listed, and that holds a
-    configuration: targets announce themselves before the operator's first
-    call, when it is not known yet which routes there are.
+    `revision` never decreases, so an older configuration never comes back
+    into force while the process runs. `is_complete` is set once the mirror
+    has caught up with a member and has received at least one item. Targets
+    alone are not enough: they announce themselves before the operator's
+    first call, when no routes are known yet.
     """
 
     def __init__(self) -> None:
@@ -24,43 +24,44 @@
         self.limits: wire.LimitsItem | None = None
         self.targets: dict[ids.TargetId, wire.TargetRecord] = {}
         self.evacuated: frozenset[ids.DomainName] = frozenset()
-        # Targets that full changes have not listed again so far.
-        self._unconfirmed: set[ids.TargetId] = set()
+        # Targets that the full changes in progress have not listed yet.
+        self._unlisted: set[ids.TargetId] = set()
 
     def apply(self, asked_revision: int, changes: wire.CatalogChanges) -> bool:
-        """Take over changes that answer a poll; return whether any were new.
+        """Apply the changes from a poll answer; return whether any were new.
 
-        News count only if nothing else was applied since the poll was
-        sent, and if the member that lists them is not behind.
+        `asked_revision` is the revision that the poll was sent with. The
+        changes are ignored if others were applied since then, or if the
+        member that sent them is behind this mirror.
         """
         if asked_revision != self.revision or changes.newest <= self.revision:
             return False
         if changes.full:
-            # Nothing is dropped before the list is complete, as requests
-            # for what it has still to name are served meanwhile.
-            self._unconfirmed = set(self.targets)
+            # Targets are removed only once the full list has arrived, so
+            # that those not listed yet keep serving requests meanwhile.
+            self._unlisted = set(self.targets)
         for item in changes.items:
-            self._put(item)
+            self._apply_item(item)
             self._has_items = True
         for record in changes.targets:
             self.targets[record.target] = record
-            self._unconfirmed.discard(record.target)
+            self._unlisted.discard(record.target)
         for target in changes.removed_targets:
             self.targets.pop(target, None)
         self.evacuated = frozenset(changes.evacuated)
         self.removals_revision = changes.newest
         self.revision = changes.revision
         if changes.revision == changes.newest:
-            self._finish()
+            self._complete()
         return True
 
-    def _finish(self) -> None:
-        for target in self._unconfirmed:
+    def _complete(self) -> None:
+        for target in self._unlisted:
             self.targets.pop(target, None)
-        self._unconfirmed.clear()
+        self._unlisted.clear()
         self.is_complete = self.is_complete or self._has_items
 
-    def _put(self, item: wire.Item) -> None:
+    def _apply_item(self, item: wire.Item) -> None:
         match item.kind:
             case wire.ItemKind.ROUTE:
                 self.routes.pop(item.name, None)
--- a/fulmarseam/catalog/_targets.py
+++ b/fulmarseam/catalog/_targets.py
@@ -1,8 +1,7 @@
-"""The table of targets and the order of their announcements.
+"""The table of announced targets.
 
-Announcements are ordered by incarnation and, within one, by sequence. What
-arrives out of order, also from an incarnation that has ended, changes
-nothing.
+Announcements of a target are ordered by incarnation and sequence. Those that
+arrive out of order or belong to an incarnation that has ended are ignored.
 """
 
 import collections
@@ -14,11 +13,11 @@
 from fulmarseam import ids
 from fulmarseam import wire
 
-# Incarnations that have ended and are remembered, so that an announcement
-# which a partition held back revives none of them.
-MAX_ENDED = 4_096
+# Ended incarnations that are kept, so that an announcement delayed by a
+# partition does not revive one of them.
+MAX_ENDED_INCARNATIONS = 4_096
 
-Changes = list[ids.TargetId]
+ChangedTargets = list[ids.TargetId]
 
 
 class TargetTable:
@@ -30,7 +29,7 @@
         ended: Iterable[tuple[ids.TargetId, int]] = (),
     ) -> None:
         self._records = {record.target: record for record in records}
-        self._ended = collections.OrderedDict(ended)
+        self._ended_incarnations = collections.OrderedDict(ended)
         self._addresses = {
             record.address: record.target for record in self._records.values()
         }
@@ -45,25 +44,26 @@
 
     def list_ended(self) -> list[tuple[ids.TargetId, int]]:
         """Return the incarnations that have ended, oldest first."""
-        return list(self._ended.items())
+        return list(self._ended_incarnations.items())
 
     def is_newer(self, record: wire.TargetRecord) -> bool:
-        """Return whether an announcement is newer than what is known.
+        """Return whether an announcement would change the table.
 
-        One from an incarnation that ended, that has an older place in the
-        order, or that claims the address of a younger target is not.
+        It would not if its incarnation has ended, if a newer announcement
+        of the target is known, or if a new target claims the address of a
+        younger one.
         """
-        ended_ms = self._ended.get(record.target)
+        ended_ms = self._ended_incarnations.get(record.target)
         if ended_ms is not None and record.born_ms <= ended_ms:
             return False
-        known = self._records.get(record.target)
-        if known is not None:
-            place = (record.born_ms, record.sequence)
-            return place > (known.born_ms, known.sequence)
-        holder = self._find_holder(record)
-        return holder is None or holder.born_ms <= record.born_ms
-
-    def _find_holder(
+        current = self._records.get(record.target)
+        if current is not None:
+            order = (record.born_ms, record.sequence)
+            return order > (current.born_ms, current.sequence)
+        owner = self._find_address_owner(record)
+        return owner is None or owner.born_ms <= record.born_ms
+
+    def _find_address_owner(
         self, record: wire.TargetRecord
     ) -> wire.TargetRecord | None:
         """Return the record of another target at the same address."""
@@ -72,71 +72,73 @@
             return None
         return self._records.get(target)
 
-    def announce(self, records: Sequence[wire.TargetRecord]) -> Changes:
-        """Take over newer records; return the targets changed."""
-        changed: Changes = []
+    def announce(self, records: Sequence[wire.TargetRecord]) -> ChangedTargets:
+        """Store newer records; return the changed targets."""
+        changed: ChangedTargets = []
         for record in records:
             if not self.is_newer(record):
                 continue
-            holder = self._find_holder(record)
-            if holder is not None:
-                self._end(holder.target, holder.born_ms)
-                changed.append(holder.target)
-            known = self._records.get(record.target)
-            if known is not None:
-                record = _keep_phase(known, record)
-                self._free_address(known)
+            owner = self._find_address_owner(record)
+            if owner is not None:
+                self._end_incarnation(owner.target, owner.born_ms)
+                changed.append(owner.target)
+            current = self._records.get(record.target)
+            if current is not None:
+                record = _keep_draining(current, record)
+                self._free_address(current)
             self._records[record.target] = record
             self._addresses[record.address] = record.target
             changed.append(record.target)
         return changed
 
-    def leave(self, target: ids.TargetId, born_ms: int) -> Changes:
-        """End an incarnation; `born_ms` 0 means the one that is known."""
-        known = self._records.get(target)
-        if known is None:
+    def leave(self, target: ids.TargetId, born_ms: int) -> ChangedTargets:
+        """End an incarnation; `born_ms` 0 means the current one."""
+        current = self._records.get(target)
+        if current is None:
             if born_ms:
-                self._remember_end(target, born_ms)
+                self._record_ended(target, born_ms)
             return []
-        if born_ms and born_ms < known.born_ms:
+        if born_ms and born_ms < current.born_ms:
             return []
-        self._end(target, max(born_ms, known.born_ms))
+        self._end_incarnation(target, max(born_ms, current.born_ms))
         return [target]
 
-    def drop(self, targets: Sequence[tuple[ids.TargetId, int]]) -> Changes:
-        """Remove silent incarnations, which may announce themselves again."""
-        changed: Changes = []
+    def drop(
+        self, targets: Sequence[tuple[ids.TargetId, int]]
+    ) -> ChangedTargets:
+        """Remove silent incarnations; they may announce themselves again."""
+        changed: ChangedTargets = []
         for target, born_ms in targets:
-            known = self._records.get(target)
-            if known is not None and known.born_ms == born_ms:
-                self._remove(known)
+            current = self._records.get(target)
+            if current is not None and current.born_ms == born_ms:
+                self._remove(current)
                 changed.append(target)
         return changed
 
-    def _end(self, target: ids.TargetId, born_ms: int) -> None:
+    def _end_incarnation(self, target: ids.TargetId, born_ms: int) -> None:
         self._remove(self._records[target])
-        self._remember_end(target, born_ms)
+        self._record_ended(target, born_ms)
 
-    def _remove(self, known: wire.TargetRecord) -> None:
-        del self._records[known.target]
-        self._free_address(known)
+    def _remove(self, record: wire.TargetRecord) -> None:
+        del self._records[record.target]
+        self._free_address(record)
 
-    def _free_address(self, known: wire.TargetRecord) -> None:
-        if self._addresses.get(known.address) == known.target:
-            del self._addresses[known.address]
+    def _free_address(self, record: wire.TargetRecord) -> None:
+        if self._addresses.get(record.address) == record.target:
+            del self._addresses[record.address]
 
-    def _remember_end(self, target: ids.TargetId, born_ms: int) -> None:
-        self._ended.pop(target, None)
-        self._ended[target] = born_ms
-        while len(self._ended) > MAX_ENDED:
-            self._ended.popitem(last=False)
+    def _record_ended(self, target: ids.TargetId, born_ms: int) -> None:
+        self._ended_incarnations.pop(target, None)
+        self._ended_incarnations[target] = born_ms
+        while len(self._ended_incarnations) > MAX_ENDED_INCARNATIONS:
+            self._ended_incarnations.popitem(last=False)
 
 
-def _keep_phase(
-    known: wire.TargetRecord, record: wire.TargetRecord
+def _keep_draining(
+    current: wire.TargetRecord, record: wire.TargetRecord
 ) -> wire.TargetRecord:
-    """Return the record with the later phase of one incarnation."""
-    is_same = known.born_ms == record.born_ms
-    if is_same and known.phase is wire.TargetPhase.DRAINING:
-        return msgspec.structs.replace(record, phase=known.phase)
+    """Return the record, still draining if its incarnation already was."""
+    same_incarnation = current.born_ms == record.born_ms
+    if same_incarnation and current.phase is wire.TargetPhase.DRAINING:
+        return msgspec.structs.replace(record, phase=current.phase)
     return record
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Tests of the catalog: items, targets, differences and entries."""
+"""Tests of the catalog: items, targets, incremental changes and entries."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class ItemTest(unittest.TestCase):
-    """Guards against an older version that comes into force again."""
+    """Guards against an older version of an item replacing a newer one."""
 
     def setUp(self) -> None:
         self.machine = catalog.Catalog()
@@ -40,7 +40,7 @@
         fixtures.put(self.machine, fixtures.make_route('r', 8))
         self.assertIsNone(self._find('r').row)
 
-    def test_nothing_of_an_invalid_call_is_in_force(self) -> None:
+    def test_invalid_call_changes_nothing(self) -> None:
         result = fixtures.put(
             self.machine,
             fixtures.make_route('good', 2),
@@ -59,7 +59,7 @@
         )
         self.assertEqual(len(result.problems), 3)
 
-    def test_an_accepted_call_is_acknowledged_again_after_its_pool_went(
+    def test_accepted_call_is_acknowledged_again_after_pool_was_dropped(
         self,
     ) -> None:
         route = fixtures.make_route('r', 2)
@@ -75,7 +75,7 @@
 
 
 class TargetTest(unittest.TestCase):
-    """Guards against late announcements that revive a dead incarnation."""
+    """Guards against late announcements that revive an ended incarnation."""
 
     def setUp(self) -> None:
         self.machine = catalog.Catalog()
@@ -92,7 +92,9 @@
         fixtures.announce(self.machine, 'a', sequence=4)
         self.assertIs(self._phase('a'), wire.TargetPhase.DRAINING)
 
-    def test_late_announcement_does_not_revive_what_left(self) -> None:
+    def test_late_announcement_does_not_revive_a_target_that_left(
+        self,
+    ) -> None:
         fixtures.announce(self.machine, 'a', born_ms=100, sequence=3)
         fixtures.leave(self.machine, 'a')
         fixtures.announce(self.machine, 'a', born_ms=100, sequence=9)
@@ -100,7 +102,7 @@
         fixtures.announce(self.machine, 'a', born_ms=200, sequence=1)
         self.assertIs(self._phase('a'), wire.TargetPhase.READY)
 
-    def test_an_id_that_starts_again_counts_anew(self) -> None:
+    def test_new_incarnation_restarts_the_sequence(self) -> None:
         fixtures.announce(
             self.machine,
             'a',
@@ -132,8 +134,8 @@
         self.assertIs(self._phase('a'), wire.TargetPhase.READY)
 
 
-class DifferenceTest(unittest.TestCase):
-    """Guards against entries that miss a change or go back."""
+class ChangesTest(unittest.TestCase):
+    """Guards against mirrors that miss a change or go back to an old one."""
 
     def setUp(self) -> None:
         self.machine = catalog.Catalog()
@@ -142,7 +144,7 @@
         self.mirror = catalog.CatalogMirror()
 
     def _sync(self, machine: catalog.Catalog) -> int:
-        """Fetch until nothing is newer; return the number of answers."""
+        """Fetch until no changes are left; return the number of answers."""
         count = 0
         while True:
             asked = self.mirror.revision
@@ -153,7 +155,7 @@
                 return count
             count += 1
 
-    def test_a_mirror_follows_by_differences(self) -> None:
+    def test_a_mirror_is_updated_by_incremental_changes(self) -> None:
         self.assertEqual(self._sync(self.machine), 1)
         fixtures.announce(self.machine, 'b', address='x:2')
         fixtures.leave(self.machine, 'a')
@@ -167,14 +169,12 @@
         self.assertEqual(list(self.mirror.targets), ['b'])
         self.assertEqual(self.mirror.evacuated, {'ost-wien'})
 
-    def test_a_large_change_comes_in_parts_that_a_thin_link_carries(
-        self,
-    ) -> None:
-        """Guards against answers that time out and are asked for again.
+    def test_a_large_change_is_split_into_small_answers(self) -> None:
+        """Guards against answers that time out and are fetched again.
 
-        On a day with 33 entries behind links of 2.4 Mbit/s a configuration
-        of many routes came whole from five members at once, and no request
-        was served any more.
+        With 33 entries behind links of 2.4 Mbit/s, each fetched a large
+        configuration in one answer from five members at once. The links
+        were saturated and no request was served any more.
         """
         routes = [
             fixtures.make_route(f'r-{number}', 1, source=b'x' * 400)
@@ -198,7 +198,7 @@
         self.assertEqual(parts, 6)
         self.assertEqual(len(self.mirror.routes), 1_000)
 
-    def test_changes_while_parts_are_on_the_way_are_not_lost(self) -> None:
+    def test_changes_between_two_answers_are_not_lost(self) -> None:
         for number in range(500):
             fixtures.announce(
                 self.machine, f't{number}', address=f'y:{number}'
@@ -214,7 +214,7 @@
             {record.target for record in self.machine.targets.all()},
         )
 
-    def test_an_entry_that_missed_too_much_keeps_serving(self) -> None:
+    def test_an_entry_that_gets_the_full_state_keeps_serving(self) -> None:
         self._sync(self.machine)
         for number in range(2_500):
             fixtures.announce(
@@ -241,7 +241,7 @@
             {record.target for record in self.machine.targets.all()},
         )
 
-    def test_a_member_that_is_behind_changes_nothing(self) -> None:
+    def test_changes_from_a_member_that_is_behind_are_ignored(self) -> None:
         behind = catalog.Catalog()
         behind.restore(self.machine.snapshot())
         fixtures.put(self.machine, fixtures.make_route('r', 2))
@@ -249,13 +249,13 @@
         self.assertEqual(self._sync(behind), 0)
         self.assertIn('r', self.mirror.routes)
 
-    def test_news_for_another_revision_are_not_applied(self) -> None:
+    def test_changes_for_another_revision_are_not_applied(self) -> None:
         changes = self.machine.list_changes(0, -1)
         self._sync(self.machine)
         fixtures.announce(self.machine, 'b', address='x:2')
         self.assertFalse(self.mirror.apply(0, changes))
 
-    def test_a_snapshot_holds_everything(self) -> None:
+    def test_a_snapshot_restores_the_whole_state(self) -> None:
         fixtures.put(self.machine, fixtures.make_drop('gone', 4))
         self._sync(self.machine)
         fixtures.leave(self.machine, 'a', born_ms=700)
@@ -272,10 +272,10 @@
         self.assertEqual(self.mirror.targets, {})
 
 
-class BeatTest(unittest.TestCase):
+class HeartbeatTrackerTest(unittest.TestCase):
     """Guards against a log entry for every announcement."""
 
-    def test_only_changes_need_the_log(self) -> None:
+    def test_only_changes_are_logged(self) -> None:
         tracker = catalog.HeartbeatTracker()
         record = fixtures.make_record('a', sequence=1)
         self.assertTrue(tracker.record(0.0, None, record))
@@ -288,7 +288,7 @@
         )
         self.assertTrue(tracker.record(3.0, record, draining))
 
-    def test_a_target_that_turned_cold_again_is_news(self) -> None:
+    def test_a_target_that_turned_cold_again_is_logged(self) -> None:
         tracker = catalog.HeartbeatTracker()
         known = fixtures.make_record('a', cold_ms=3_000.0)
         tracker.record(0.0, None, known)
@@ -299,9 +299,9 @@
 
 
 class TargetLeasesTest(unittest.TestCase):
-    """Guards against dropping live targets of a member that is cut off."""
+    """Guards against dropping live targets while the members are cut off."""
 
-    def test_silent_targets_are_found_after_the_lease(self) -> None:
+    def test_silent_targets_expire_after_the_lease(self) -> None:
         leases = catalog.TargetLeases(5.0)
         known = {
             fixtures.target_id(name): fixtures.make_record(name, born_ms=7)
@@ -311,7 +311,7 @@
         leases.renew(4.0, [fixtures.target_id(name) for name in 'ab'])
         self.assertEqual(leases.find_expired(5.5, known), [('c', 7)])
 
-    def test_none_are_silent_when_most_are(self) -> None:
+    def test_no_target_is_expired_when_most_are_silent(self) -> None:
         leases = catalog.TargetLeases(5.0)
         known = {
             fixtures.target_id(name): fixtures.make_record(name)
@@ -342,12 +342,14 @@
             now, fixtures.region(region), fixtures.domain('ost-stp'), 64
         )
 
-    def test_entries_of_the_region_come_with_the_own_domain_first(
+    def test_own_region_is_listed_with_the_own_domain_first(
         self,
     ) -> None:
         self.assertEqual(self._find(1.0, 'ost'), ['e2:1', 'e1:1'])
 
-    def test_other_regions_serve_where_none_is_left(self) -> None:
+    def test_other_regions_are_listed_for_a_region_without_entries(
+        self,
+    ) -> None:
         self.assertEqual(len(self._find(1.0, 'sued')), 3)
 
     def test_silent_and_draining_entries_are_left_out(self) -> None:
@@ -363,7 +365,7 @@
         self.assertEqual(self._find(4.0, 'ost'), ['e2:1'])
         self.assertEqual(self._find(5.0, 'ost'), [])
 
-    def test_a_late_poll_of_an_ended_process_changes_nothing(self) -> None:
+    def test_a_late_poll_of_an_ended_process_is_ignored(self) -> None:
         restarted = fixtures.make_poll('e1', 'ost', 'ost-wien', incarnation=9)
         self.registry.record_poll(1.0, restarted)
         late = fixtures.make_poll(
@@ -372,7 +374,7 @@
         self.assertFalse(self.registry.record_poll(1.1, late))
         self.assertIn('e1:1', self._find(1.2, 'ost'))
 
-    def test_a_process_that_restarts_with_an_earlier_clock_is_heard(
+    def test_a_process_that_restarts_with_an_earlier_clock_is_accepted(
         self,
     ) -> None:
         earlier = fixtures.make_poll('e1', 'ost', 'ost-wien', incarnation=3)
