--- a/fulmarseam/membership/_entries.py
+++ b/fulmarseam/membership/_entries.py
@@ -7,8 +7,8 @@
 from fulmarseam import wire
 
 ENTRY_LEASE_S = 3.0
-# Entries that have been silent for longer are forgotten.
-DEAD_KEPT_S = 600.0
+# Rows of entries that have been silent for longer are removed.
+DEAD_ENTRY_RETENTION_S = 600.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -21,9 +21,9 @@
 
 
 class EntryChanges(NamedTuple):
-    """The rows that bring a reader to `version`.
+    """The rows that update a reader to `version`.
 
-    With `full` they replace all rows of the reader.
+    If `full` is set, they replace all rows of the reader.
     """
 
     version: int
@@ -32,72 +32,72 @@
 
 
 class EntryTable:
-    """Entries as they report themselves in sync requests.
+    """Entries as reported by their own sync requests.
 
-    A request of an older incarnation than the last known one is ignored.
-    `version` counts the changes that other entries must know.
+    Requests of an older incarnation than the current one are ignored.
+    `version` counts the changes that are passed on to other entries.
     """
 
     def __init__(self, now: float, lease_s: float = ENTRY_LEASE_S) -> None:
         self.version = 0
-        self._complete_since = 0
-        self._started = now
+        self._min_incremental_version = 0
+        self._started_at = now
         self._lease_s = lease_s
         self._entries: dict[ids.EntryId, _Entry] = {}
 
     def record(self, now: float, request: wire.SyncRequest) -> bool:
-        """Take a request; return whether its incarnation is current."""
+        """Record a request; return whether its incarnation is current."""
         info = request.info
-        known = self._entries.get(info.entry)
-        if known is None:
+        current = self._entries.get(info.entry)
+        if current is None:
             self.version += 1
             self._entries[info.entry] = _Entry(
                 info, request.draining, True, now, self.version
             )
             return True
-        if info.incarnation < known.info.incarnation:
+        if info.incarnation < current.info.incarnation:
             return False
         changed = (info, request.draining, True) != (
-            known.info,
-            known.draining,
-            known.alive,
+            current.info,
+            current.draining,
+            current.alive,
         )
-        known.info = info
-        known.draining = request.draining
-        known.alive = True
-        known.heard_at = now
+        current.info = info
+        current.draining = request.draining
+        current.alive = True
+        current.heard_at = now
         if changed:
-            self._mark(known)
+            self._record_change(current)
         return True
 
     def expire(self, now: float) -> list[ids.EntryId]:
-        """Mark entries whose lease has ended; return their ids."""
-        ended = [
+        """Mark entries with expired leases as dead; return their ids."""
+        expired = [
             entry
             for entry, row in self._entries.items()
             if row.alive and row.heard_at + self._lease_s <= now
         ]
-        for entry in ended:
+        for entry in expired:
             self._entries[entry].alive = False
-            self._mark(self._entries[entry])
+            self._record_change(self._entries[entry])
         for entry, row in list(self._entries.items()):
-            if row.heard_at + DEAD_KEPT_S <= now:
+            if row.heard_at + DEAD_ENTRY_RETENTION_S <= now:
                 del self._entries[entry]
                 self.version += 1
-                self._complete_since = self.version
-        return ended
+                self._min_incremental_version = self.version
+        return expired
 
     def rows(self) -> list[wire.EntryRow]:
         """Return all entries, ordered by id."""
         return [_to_row(row) for _, row in sorted(self._entries.items())]
 
     def changes_since(self, version: int) -> EntryChanges:
-        """Return what a reader at `version` needs to be up to date.
+        """Return the changes that a reader at `version` has not seen.
 
-        Version 0 stands for a reader that has nothing, which also holds for
-        readers whose version belongs to the table of another leader.
+        Version 0 stands for a reader without rows, or with rows from the
+        table of another leader. It gets the whole table.
         """
-        full = version < self._complete_since or not (
+        full = version < self._min_incremental_version or not (
             0 < version <= self.version
         )
         rows = [
@@ -108,21 +108,22 @@
         return EntryChanges(self.version, full, rows)
 
     def get(self, entry: ids.EntryId) -> wire.EntryRow | None:
-        """Return the row of an entry, or None when it is not known."""
+        """Return the row of an entry, or None if it is not known."""
         row = self._entries.get(entry)
         return None if row is None else _to_row(row)
 
     def get_silence_s(self, now: float, entry: ids.EntryId) -> float:
-        """Return the seconds since the entry was last heard.
+        """Return the seconds since the last request of an entry.
 
-        An entry that this leader has never heard counts from the start of
-        the table, so that a new leader replaces no record holder too early.
+        For an entry without any request the time counts from the start of
+        the table, so that a new leader does not replace a record holder too
+        early.
         """
         row = self._entries.get(entry)
-        return now - (self._started if row is None else row.heard_at)
+        return now - (self._started_at if row is None else row.heard_at)
 
-    def _mark(self, row: _Entry) -> None:
-        """Note that other entries must know of a change of the row."""
+    def _record_change(self, row: _Entry) -> None:
+        """Give a changed row a new version, so that readers get it."""
         self.version += 1
         row.version = self.version
 
--- a/fulmarseam/membership/_mirror.py
+++ b/fulmarseam/membership/_mirror.py
@@ -1,4 +1,4 @@
-"""An entry's copy of the leader's target rows."""
+"""An entry's local copy of the leader's target rows."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -14,36 +14,38 @@
 class MirroredTarget:
     """A target as an entry knows it.
 
-    `ready_since` and `load_at` are in the entry's monotonic seconds;
-    `load_at` is None without a load report. `drop_at` is set while the row
-    waits for a new leader to list it.
+    Times are in seconds of the entry's monotonic clock. `load_at` is when
+    the load was reported, or None without a load report. `remove_at` is set
+    while a new leader has not listed the target yet.
     """
 
     report: wire.TargetReport
     ready_since: float
     load_at: float | None
-    drop_at: float | None = None
+    remove_at: float | None = None
 
 
 class TargetMirror:
-    """Target rows of the leader and leaves heard directly.
+    """Target rows of the leader, and leave notices of targets.
 
-    A row is no permission to use the target: the grants are, and they carry
-    its lease. Rows that a new leader does not list yet stay for one target
-    lease, because its table is empty until the targets announce themselves
-    again. `version` counts changes of the mirror.
+    A row does not permit an entry to use the target; only a grant does, and
+    it carries the target's lease. Rows that a new leader does not list yet
+    stay for one target lease, because its table is empty until the targets
+    announce themselves again. `version` counts changes of the mirror.
     """
 
     def __init__(self) -> None:
         self.version = 0
         self._targets: dict[ids.TargetId, MirroredTarget] = {}
-        self._left: dict[ids.TargetId, tuple[tuple[int, int], float]] = {}
+        self._leave_notices: dict[
+            ids.TargetId, tuple[tuple[int, int], float]
+        ] = {}
 
     def apply(self, now: float, response: wire.SyncResponse) -> None:
-        """Take the rows of an answer."""
+        """Apply the rows of an answer."""
         listed = {row.report.target for row in response.targets}
         if response.targets_full:
-            self._schedule_drops(now, listed)
+            self._schedule_removals(now, listed)
         for row in response.targets:
             self._apply_row(now, row)
         for load in response.loads:
@@ -54,38 +56,40 @@
         self.version += 1
 
     def record_leave(self, now: float, report: wire.TargetReport) -> None:
-        """Take a leave that reached this entry or one of its peers.
+        """Record a leave notice that reached this entry or one of its peers.
 
-        The target is left out until it reports a newer incarnation or the
-        row is 60 s old.
+        The target is not used until it sends a newer report, or until the
+        notice is 60 s old.
         """
-        order = _targets.sort_key(report)
-        known, _ = self._left.get(report.target, (order, 0.0))
-        self._left[report.target] = (
-            max(order, known),
-            now + _targets.LEAVING_KEPT_S,
+        leave_key = _targets.sort_key(report)
+        current, _ = self._leave_notices.get(report.target, (leave_key, 0.0))
+        self._leave_notices[report.target] = (
+            max(leave_key, current),
+            now + _targets.LEAVING_RETENTION_S,
         )
         self.version += 1
 
     def expire(self, now: float) -> None:
-        """Drop rows that a new leader did not list and old leaves."""
-        dropped = [
+        """Remove rows that a new leader did not list, and old notices."""
+        unlisted = [
             target
             for target, row in self._targets.items()
-            if row.drop_at is not None and row.drop_at <= now
+            if row.remove_at is not None and row.remove_at <= now
         ]
-        for target in dropped:
+        for target in unlisted:
             del self._targets[target]
-        ended = [
-            target for target, (_, end) in self._left.items() if end <= now
+        expired = [
+            target
+            for target, (_, end) in self._leave_notices.items()
+            if end <= now
         ]
-        for target in ended:
-            del self._left[target]
-        if dropped or ended:
+        for target in expired:
+            del self._leave_notices[target]
+        if unlisted or expired:
             self.version += 1
 
     def get(self, target: ids.TargetId) -> MirroredTarget | None:
-        """Return the row of a target, or None when it is not known."""
+        """Return the row of a target, or None if it is not known."""
         return self._targets.get(target)
 
     def ready(self) -> list[MirroredTarget]:
@@ -98,28 +102,28 @@
         ]
 
     def _has_left(self, report: wire.TargetReport) -> bool:
-        left = self._left.get(report.target)
-        if left is None:
+        leave = self._leave_notices.get(report.target)
+        if leave is None:
             return False
-        # Sequences restart with an incarnation. A "ready" with a higher
-        # sequence of the same incarnation revokes the leave.
-        return _targets.sort_key(report) <= left[0]
+        # Sequences restart with each incarnation. A "ready" report with a
+        # higher sequence of the same incarnation revokes the leave notice.
+        return _targets.sort_key(report) <= leave[0]
 
-    def _schedule_drops(
+    def _schedule_removals(
         self, now: float, listed: Iterable[ids.TargetId]
     ) -> None:
         for target, row in self._targets.items():
-            if target not in listed and row.drop_at is None:
-                row.drop_at = now + _targets.TARGET_LEASE_S
+            if target not in listed and row.remove_at is None:
+                row.remove_at = now + _targets.TARGET_LEASE_S
 
     def _apply_row(self, now: float, row: wire.TargetRow) -> None:
         report = row.report
-        known = self._targets.get(report.target)
-        if known is not None and (
-            _targets.sort_key(report) < _targets.sort_key(known.report)
+        current = self._targets.get(report.target)
+        if current is not None and (
+            _targets.sort_key(report) < _targets.sort_key(current.report)
         ):
-            # The row of a new leader may be older, but it lists the target.
-            known.drop_at = None
+            # The new leader's row may be older, but it lists the target.
+            current.remove_at = None
             return
         has_load = report.load is not None
         self._targets[report.target] = MirroredTarget(
@@ -129,11 +133,11 @@
         )
 
     def _apply_load(self, now: float, row: wire.LoadRow) -> None:
-        known = self._targets.get(row.target)
-        if known is None or row.sequence < known.report.sequence:
+        current = self._targets.get(row.target)
+        if current is None or row.sequence < current.report.sequence:
             return
-        known.report = msgspec.structs.replace(
-            known.report,
+        current.report = msgspec.structs.replace(
+            current.report,
             sequence=row.sequence,
             load=wire.TargetLoad(
                 busy_slots=row.busy_slots,
@@ -141,4 +145,4 @@
                 latency_ms=row.latency_ms,
             ),
         )
-        known.load_at = now - row.age_ms / 1_000
+        current.load_at = now - row.age_ms / 1_000
--- a/fulmarseam/membership/_targets.py
+++ b/fulmarseam/membership/_targets.py
@@ -8,38 +8,39 @@
 from fulmarseam import wire
 
 TARGET_LEASE_S = 3.0
-# A late "ready" must not revive a target that has left.
-LEAVING_KEPT_S = 60.0
-# Load changes with nearly every report. Passing each of them on would take
-# more than the 6 KB/s that a node may spend on control.
-LOAD_NEWS_INTERVAL_S = 2.0
-# Readers that are behind by more removals get the whole table.
-REMOVALS_KEPT = 1_000
+# The row of a leaving target stays this long, so that a late "ready" report
+# does not revive the target.
+LEAVING_RETENTION_S = 60.0
+# Load changes with nearly every report. Publishing each change would exceed
+# the 6 KB/s of control traffic that a node may use.
+LOAD_PUBLISH_INTERVAL_S = 2.0
+# Removals that are kept; readers that missed more get the whole table.
+MAX_REMOVALS = 1_000
 
 
 @dataclasses.dataclass(slots=True)
 class Target:
     """A target and the times of its last reports.
 
-    `lease_until`, `ready_since` and `load_at` are in the owner's monotonic
-    seconds; the latter two are None until the target was ready and until it
-    reported a load. `version` is the table version of the last change of
-    facts and `load_version` that of the last load passed on.
+    Times are in seconds of the owner's monotonic clock. `ready_since` is
+    None until the target was ready, `load_at` until it reported a load.
+    `version` is the table version of the last urgent change, `load_version`
+    that of the last published load.
     """
 
     report: wire.TargetReport
     lease_until: float
     ready_since: float | None
     load_at: float | None
-    load_news_at: float
+    load_published_at: float
     version: int
     load_version: int
 
 
 class TargetChanges(NamedTuple):
-    """Rows and loads changed and targets removed since a version.
+    """Changed rows and loads, and removed targets, since a version.
 
-    With `full`, `rows` is the whole table and replaces what the reader had.
+    If `full` is set, `rows` is the whole table and replaces the reader's.
     """
 
     version: int
@@ -50,13 +51,14 @@
 
 
 class TargetTable:
-    """Targets ordered by (incarnation, sequence) of their reports.
-
-    A version counts the changes that readers must know: a new target,
-    another state, address, size or place, a removal, and a change of load at
-    most every 2 s. A renewal alone is no news, because each grant carries
-    the lease of its target. `urgent_version` is the last version that is
-    more than a change of load; only that is worth an answer at once.
+    """Announced targets, each with its newest report.
+
+    Reports are ordered by (incarnation, sequence). `version` counts the
+    changes that readers must get: new and removed targets, changes of state,
+    address, size or location, and the load at most every 2 s. A renewal
+    alone is not a change, because each grant carries the lease of its
+    target. `urgent_version` is the last version with more than a change of
+    load; only such versions are sent to readers at once.
     """
 
     def __init__(self, lease_s: float = TARGET_LEASE_S) -> None:
@@ -67,68 +69,70 @@
         self._removals: collections.deque[tuple[int, ids.TargetId]] = (
             collections.deque()
         )
-        self._complete_since = 0
+        self._min_incremental_version = 0
 
     def record(
         self, now: float, report: wire.TargetReport, received_age_ms: int
     ) -> bool:
-        """Take a report that an entry received `received_age_ms` ago.
+        """Record a report that an entry received `received_age_ms` ago.
 
-        Return whether the report was accepted; one that is not newer than
-        the last is ignored, and a repeat of the last report too.
+        Returns whether the report was accepted. It is ignored unless it is
+        newer than the last report.
         """
         received_at = now - max(0, received_age_ms) / 1_000
-        known = self._targets.get(report.target)
-        if known is None:
+        current = self._targets.get(report.target)
+        if current is None:
             self._targets[report.target] = self._create(received_at, report)
             return True
-        if sort_key(report) <= sort_key(known.report):
+        if sort_key(report) <= sort_key(current.report):
             return False
-        self._update(known, received_at, report)
+        self._update(current, received_at, report)
         return True
 
     def has_report(self, report: wire.TargetReport) -> bool:
         """Return whether this report or a newer one has been recorded.
 
-        An entry may then confirm the announcement to the target.
+        If so, an entry may confirm the announcement to the target.
         """
-        known = self._targets.get(report.target)
-        return known is not None and sort_key(report) <= sort_key(known.report)
+        current = self._targets.get(report.target)
+        return current is not None and sort_key(report) <= sort_key(
+            current.report
+        )
 
     def expire(self, now: float) -> list[ids.TargetId]:
-        """Remove targets whose lease has ended; return their ids.
+        """Remove targets with expired leases; return their ids.
 
-        Rows of targets that are leaving stay until 60 s after the report.
+        Rows of leaving targets stay until 60 s after the report.
         """
-        ended = [
+        expired = [
             target
             for target, row in self._targets.items()
             if row.lease_until <= now
         ]
-        for target in ended:
+        for target in expired:
             del self._targets[target]
             self.version += 1
             self.urgent_version = self.version
             self._removals.append((self.version, target))
-        while len(self._removals) > REMOVALS_KEPT:
-            self._complete_since = self._removals.popleft()[0]
-        return ended
+        while len(self._removals) > MAX_REMOVALS:
+            self._min_incremental_version = self._removals.popleft()[0]
+        return expired
 
     def get(self, target: ids.TargetId) -> Target | None:
-        """Return the target, or None when it is not known."""
+        """Return the target, or None if it is not known."""
         return self._targets.get(target)
 
     def all(self) -> list[Target]:
-        """Return all targets, those that are leaving included."""
+        """Return all targets, including leaving ones."""
         return list(self._targets.values())
 
     def changes_since(self, now: float, version: int) -> TargetChanges:
-        """Return what a reader at `version` needs to be up to date.
+        """Return the changes that a reader at `version` has not seen.
 
-        Version 0 stands for a reader that has nothing, which also holds for
-        readers whose version belongs to the table of another leader.
+        Version 0 stands for a reader without rows, or with rows from the
+        table of another leader. It gets the whole table.
         """
-        full = version < self._complete_since or not (
+        full = version < self._min_incremental_version or not (
             0 < version <= self.version
         )
         rows = [
@@ -165,62 +169,64 @@
         ready = report.state is wire.TargetState.READY
         return Target(
             report=report,
-            lease_until=received_at + self._lease_of(report),
+            lease_until=received_at + self._find_lease_s(report),
             ready_since=received_at if ready else None,
             load_at=None if report.load is None else received_at,
-            load_news_at=received_at,
+            load_published_at=received_at,
             version=self.version,
             load_version=self.version,
         )
 
     def _update(
-        self, known: Target, received_at: float, report: wire.TargetReport
+        self, current: Target, received_at: float, report: wire.TargetReport
     ) -> None:
-        restarted = report.incarnation != known.report.incarnation
+        restarted = report.incarnation != current.report.incarnation
         if restarted:
-            known.ready_since = None
+            current.ready_since = None
         if (
             report.state is wire.TargetState.READY
-            and known.ready_since is None
+            and current.ready_since is None
         ):
-            known.ready_since = received_at
+            current.ready_since = received_at
         if report.load is not None:
-            known.load_at = received_at
+            current.load_at = received_at
         elif restarted:
-            known.load_at = None
-        if facts_of(report) != facts_of(known.report):
+            current.load_at = None
+        if get_urgent_fields(report) != get_urgent_fields(current.report):
             self.version += 1
             self.urgent_version = self.version
-            known.version = self.version
-            known.load_news_at = received_at
-        elif self._is_load_due(known, received_at, report):
+            current.version = self.version
+            current.load_published_at = received_at
+        elif self._is_load_due(current, received_at, report):
             self.version += 1
-            known.load_version = self.version
-            known.load_news_at = received_at
-        known.report = report
-        known.lease_until = max(
-            known.lease_until, received_at + self._lease_of(report)
+            current.load_version = self.version
+            current.load_published_at = received_at
+        current.report = report
+        current.lease_until = max(
+            current.lease_until, received_at + self._find_lease_s(report)
         )
 
-    def _lease_of(self, report: wire.TargetReport) -> float:
+    def _find_lease_s(self, report: wire.TargetReport) -> float:
         if report.state is wire.TargetState.LEAVING:
-            return LEAVING_KEPT_S
+            return LEAVING_RETENTION_S
         return self._lease_s
 
     def _is_load_due(
-        self, known: Target, received_at: float, report: wire.TargetReport
+        self, current: Target, received_at: float, report: wire.TargetReport
     ) -> bool:
-        due = received_at - known.load_news_at >= LOAD_NEWS_INTERVAL_S
-        return due and report.load is not None
+        is_due = (
+            received_at - current.load_published_at >= LOAD_PUBLISH_INTERVAL_S
+        )
+        return is_due and report.load is not None
 
 
 def sort_key(report: wire.TargetReport) -> tuple[int, int]:
-    """Return the key by which the reports of a target are ordered."""
+    """Return the key that orders the reports of a target."""
     return report.incarnation, report.sequence
 
 
-def facts_of(report: wire.TargetReport) -> tuple[object, ...]:
-    """Return the fields whose change readers must learn at once."""
+def get_urgent_fields(report: wire.TargetReport) -> tuple[object, ...]:
+    """Return the fields whose changes are sent to readers at once."""
     return (
         report.incarnation,
         report.state,
@@ -235,10 +241,10 @@
 
 
 def to_row(now: float, target: Target) -> wire.TargetRow:
-    """Return the target with its times as ages at `now`.
+    """Return the row of a target, with times as ages at `now`.
 
-    `ready_ms` is 0 for a target that was never ready, and `load_age_ms` is
-    0 when there is no load report.
+    `ready_ms` is 0 for a target that was never ready, `load_age_ms` is 0
+    without a load report.
     """
     return wire.TargetRow(
         report=target.report,
@@ -266,5 +272,5 @@
 
 
 def to_ms(seconds: float) -> int:
-    """Return whole milliseconds, never below zero."""
+    """Return whole milliseconds, at least 0."""
     return max(0, int(seconds * 1_000))
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -172,9 +172,9 @@
     def test_a_large_change_is_split_into_small_answers(self) -> None:
         """Guards against answers that time out and are fetched again.
 
-        With 33 entries behind links of 2.4 Mbit/s, each fetched a large
-        configuration in one answer from five members at once. The links
-        were saturated and no request was served any more.
+        With 33 entries behind links of 2.4 Mbit/s, five members at once
+        sent a configuration of many routes in one answer each, and no
+        request was served any more.
         """
         routes = [
             fixtures.make_route(f'r-{number}', 1, source=b'x' * 400)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -34,7 +34,7 @@
 
 
 class TargetTableTest(unittest.TestCase):
-    """Guards against old news and targets that are used too long."""
+    """Guards against outdated reports and targets that outlive their lease."""
 
     def setUp(self) -> None:
         self.table = membership.TargetTable()
@@ -61,18 +61,18 @@
         self.assertFalse(self.table.record(60.9, make_report(2), 0))
         self.assertEqual(['t'], self.table.expire(61.0))
 
-    def test_renewal_is_no_news_but_state_is(self) -> None:
+    def test_renewal_is_no_change_but_new_state_is(self) -> None:
         self.table.record(0.0, make_report(1, STARTING), 0)
         version = self.table.version
         self.table.record(0.5, make_report(2, STARTING), 0)
         self.assertEqual(version, self.table.version)
         self.table.record(1.0, make_report(3), 0)
-        news = self.table.changes_since(1.0, version)
-        self.assertFalse(news.full)
-        self.assertEqual([make_report(3)], [r.report for r in news.rows])
-        self.assertEqual([], self.table.rows_since(1.0, news.version))
+        changes = self.table.changes_since(1.0, version)
+        self.assertFalse(changes.full)
+        self.assertEqual([make_report(3)], [r.report for r in changes.rows])
+        self.assertEqual([], self.table.rows_since(1.0, changes.version))
 
-    def test_load_is_news_at_most_every_two_seconds(self) -> None:
+    def test_load_is_published_at_most_every_two_seconds(self) -> None:
         self.table.record(0.0, make_report(1, load=1), 0)
         versions = []
         for number in range(1, 17):
@@ -81,13 +81,13 @@
             versions.append(self.table.version)
         self.assertEqual(1 + 4, versions[-1])
 
-    def test_load_is_sent_without_the_facts_and_not_urgent(self) -> None:
+    def test_load_is_sent_without_its_row_and_not_urgent(self) -> None:
         self.table.record(0.0, make_report(1, load=1), 0)
         version = self.table.version
         self.table.record(2.0, make_report(2, load=3), 0)
-        news = self.table.changes_since(2.5, version)
-        self.assertEqual([], news.rows)
-        [load] = news.loads
+        changes = self.table.changes_since(2.5, version)
+        self.assertEqual([], changes.rows)
+        [load] = changes.loads
         self.assertEqual(
             (2, 3, 500), (load.sequence, load.busy_slots, load.age_ms)
         )
@@ -95,7 +95,7 @@
         self.table.record(3.0, make_report(3, STARTING, load=3), 0)
         self.assertEqual(self.table.version, self.table.urgent_version)
 
-    def test_ready_time_starts_anew_with_an_incarnation(self) -> None:
+    def test_ready_time_restarts_with_an_incarnation(self) -> None:
         self.table.record(1.0, make_report(1, STARTING), 0)
         row = self.table.changes_since(5.0, 0).rows[0]
         self.assertEqual(0, row.ready_ms)
@@ -117,12 +117,12 @@
         self.table.record(0.0, make_report(1, name='u'), 0)
         version = self.table.version
         self.table.expire(3.0)
-        news = self.table.changes_since(3.0, version)
-        self.assertEqual((False, ['t', 'u']), (news.full, news.removed))
+        changes = self.table.changes_since(3.0, version)
+        self.assertEqual((False, ['t', 'u']), (changes.full, changes.removed))
         self.table.record(4.0, make_report(2), 0)
-        news = self.table.changes_since(4.0, version)
-        self.assertEqual(['u'], news.removed)
-        self.assertEqual(['t'], [row.report.target for row in news.rows])
+        changes = self.table.changes_since(4.0, version)
+        self.assertEqual(['u'], changes.removed)
+        self.assertEqual(['t'], [row.report.target for row in changes.rows])
 
     def test_unknown_version_gets_the_whole_table(self) -> None:
         self.table.record(0.0, make_report(1), 0)
@@ -149,7 +149,7 @@
             max_size=12,
         )
     )
-    def test_any_order_of_arrival_ends_in_the_newest(
+    def test_newest_report_wins_in_any_order_of_arrival(
         self, items: list[tuple[int, int, wire.TargetState]]
     ) -> None:
         table = membership.TargetTable()
@@ -163,7 +163,7 @@
 
 
 class TargetMirrorTest(unittest.TestCase):
-    """Guards against use of targets that have left."""
+    """Guards against the use of targets that have left."""
 
     def setUp(self) -> None:
         self.mirror = membership.TargetMirror()
@@ -230,7 +230,7 @@
             age_ms=500,
         )
         self.apply(2.0, loads=(newer,))
-        # A "ready" after the leave revokes it.
+        # A "ready" report after the leave notice revokes it.
         self.assertEqual(['t'], self.names())
         row = self.mirror.get('t')
         assert row is not None and row.report.load is not None
@@ -251,7 +251,7 @@
         self.mirror.expire(9.0)
         self.assertEqual(['t'], self.names())
 
-    def test_leave_heard_directly_beats_older_rows(self) -> None:
+    def test_leave_notice_overrides_older_rows(self) -> None:
         self.apply(5.0, make_report(1))
         self.mirror.record_leave(5.1, make_report(4, LEAVING))
         self.apply(5.2, make_report(3))
@@ -267,15 +267,15 @@
         self.apply(6.0, make_report(6), full=True)
         self.assertEqual([], self.names())
 
-    def test_every_change_moves_the_version(self) -> None:
-        seen = [self.mirror.version]
+    def test_every_change_increases_the_version(self) -> None:
+        versions = [self.mirror.version]
         self.apply(5.0, make_report(1))
-        seen.append(self.mirror.version)
+        versions.append(self.mirror.version)
         self.mirror.record_leave(5.1, make_report(4, LEAVING))
-        seen.append(self.mirror.version)
+        versions.append(self.mirror.version)
         self.mirror.expire(70.0)
-        seen.append(self.mirror.version)
-        self.assertEqual(sorted(set(seen)), seen)
+        versions.append(self.mirror.version)
+        self.assertEqual(sorted(set(versions)), versions)
 
 
 class EntryTableTest(unittest.TestCase):
@@ -306,7 +306,7 @@
         )
         return self.table.record(now, wire.SyncRequest(**fields))
 
-    def test_silent_entry_is_dead_and_comes_back(self) -> None:
+    def test_silent_entry_is_dead_until_its_next_request(self) -> None:
         self.assertTrue(self.record(100.0))
         self.assertEqual([], self.table.expire(102.9))
         self.assertEqual(['e0'], self.table.expire(103.0))
@@ -322,7 +322,7 @@
         self.assertEqual(1.5, self.table.get_silence_s(101.5, 'e0'))
         self.assertTrue(self.record(102.0, incarnation=3))
 
-    def test_only_changes_move_the_version(self) -> None:
+    def test_only_changes_increase_the_version(self) -> None:
         self.record(100.0)
         version = self.table.version
         self.record(100.4)
@@ -331,11 +331,11 @@
         self.assertEqual(version + 1, self.table.version)
         self.assertTrue(self.table.rows()[0].draining)
 
-    def test_entry_never_heard_is_silent_since_the_start(self) -> None:
+    def test_unknown_entry_is_silent_since_the_start(self) -> None:
         self.assertEqual(4.0, self.table.get_silence_s(104.0, 'e9'))
         self.assertIsNone(self.table.get('e9'))
 
-    def test_dead_entry_is_forgotten_after_a_while(self) -> None:
+    def test_dead_entry_is_removed_after_a_while(self) -> None:
         self.record(100.0)
         self.table.expire(800.0)
         self.assertEqual([], self.table.rows())
