--- a/fulmarseam/platform/__init__.py
+++ b/fulmarseam/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter to the platform of the users' hosts.
+"""Adapter to the platform that the users' hosts run on.
 
-It translates between the platform's calls, fields and headers and the
-types of the product, and holds every name of the platform. It decides
-nothing and keeps no state.
+It translates between the platform's API calls, fields and headers and the
+types of this project, and is the only package that contains the platform's
+names. It makes no decisions and keeps no state.
 """
--- a/fulmarseam/platform/__main__.py
+++ b/fulmarseam/platform/__main__.py
@@ -1,7 +1,7 @@
-"""Starts a program on a host of the platform.
+"""Runs a program on a host of the platform.
 
-The platform fills the templates in `deploy/` with its fields and names the
-resulting settings file in the environment::
+The platform fills the templates in `deploy/` with its fields. The environment
+variable `FULMARSEAM_BOOT` holds the path of the resulting settings file::
 
     python3 -m fulmarseam.platform control
     python3 -m fulmarseam.platform entry
--- a/fulmarseam/platform/_calls.py
+++ b/fulmarseam/platform/_control_api.py
@@ -1,4 +1,4 @@
-"""The platform's calls to the control members."""
+"""The HTTP API that the control members offer to the platform."""
 
 import hashlib
 import json
@@ -21,19 +21,19 @@
 TARGETS_PATH = '/api/instances/'
 EVACUATION_PATH = '/api/evacuate/'
 LOOKUP_PATH = '/api/resolve'
-# The most addresses that a caller takes from one answer.
-MAX_ADDRESSES = 64
-# Callers keep an answer for up to three lifetimes. An entry that stops has
-# 6 s and listens for three quarters of them.
-LOOKUP_LIFETIME_S = 1.4
-JSON = [(b'content-type', b'application/json')]
+# A caller uses at most this many addresses of an answer.
+MAX_LOOKUP_ADDRESSES = 64
+# Callers keep a look-up answer for up to three times its TTL. An entry that
+# stops has 6 s and listens for three quarters of them (4.5 s).
+LOOKUP_TTL_S = 1.4
+JSON_HEADERS = [(b'content-type', b'application/json')]
 DIGEST_BYTES = 16
 
 _log = logbook.Logger('platform')
 
 
-class ControlCalls:
-    """Handles the calls of operators, targets and callers."""
+class ControlApi:
+    """Handles the requests of operators, targets and callers."""
 
     def __init__(
         self,
@@ -42,14 +42,12 @@
     ) -> None:
         self._options = options
         self._member = member
-        self._lifetime_s = min(
-            LOOKUP_LIFETIME_S, options.lookup_lifetime_limit
-        )
+        self._lookup_ttl_s = min(LOOKUP_TTL_S, options.lookup_lifetime_limit)
 
-    async def handle_order(
+    async def handle_api_request(
         self, request: http.Request, caller: http.CallerConnection
     ) -> None:
-        """Answer a call of an operator or a target."""
+        """Answer a request of an operator or a target."""
         path, _ = _split_target(request)
         body = await http.read_body(caller)
         method = request.method.decode('ascii')
@@ -59,11 +57,11 @@
             elif path.startswith(TARGETS_PATH):
                 target = parse.unquote(path.removeprefix(TARGETS_PATH))
                 await self._handle_target(method, target, body)
-                caller.answer(200, JSON, b'{}')
+                caller.answer(200, JSON_HEADERS, b'{}')
             elif path.startswith(EVACUATION_PATH):
                 domain = parse.unquote(path.removeprefix(EVACUATION_PATH))
                 await self._handle_evacuation(method, domain)
-                caller.answer(200, JSON, b'{}')
+                caller.answer(200, JSON_HEADERS, b'{}')
             else:
                 raise errors.FulmarseamError(errors.ErrorKind.NOT_FOUND, path)
         except _values.UnreadableError as error:
@@ -82,7 +80,7 @@
         if method == 'GET':
             await self._member.confirm()
             items = self._member.catalog.items.list_live()
-            caller.answer(200, JSON, _items.write_items(items))
+            caller.answer(200, JSON_HEADERS, _items.write_items(items))
             return
         _require_method(method, 'PATCH')
         items = _items.read_call(body)
@@ -104,7 +102,7 @@
         )
         if result.problems:
             raise _values.UnreadableError('; '.join(result.problems))
-        caller.answer(200, JSON, b'{}')
+        caller.answer(200, JSON_HEADERS, b'{}')
 
     async def _handle_target(
         self, method: str, target: str, body: bytes
@@ -120,17 +118,17 @@
     async def _handle_evacuation(self, method: str, domain: str) -> None:
         if method != 'DELETE':
             _require_method(method, 'POST')
-        is_active = method == 'POST'
+        evacuate = method == 'POST'
         result = await self._member.submit(
             catalog.EvacuateDomain(
-                failure_domain=ids.DomainName(domain), active=is_active
+                failure_domain=ids.DomainName(domain), active=evacuate
             )
         )
         _log.info(
             telemetry.format_event(
                 'evacuation',
                 failure_domain=domain,
-                active=is_active,
+                active=evacuate,
                 revision=result.revision,
             )
         )
@@ -138,7 +136,7 @@
     async def handle_lookup(
         self, request: http.Request, caller: http.CallerConnection
     ) -> None:
-        """Answer a caller that asks where to connect."""
+        """Answer a caller's look-up of entry addresses."""
         path, query = _split_target(request)
         if path != LOOKUP_PATH:
             raise errors.FulmarseamError(errors.ErrorKind.NOT_FOUND, path)
@@ -146,19 +144,19 @@
         addresses = self._member.find_entries(
             ids.RegionName(fields.get('region', '')),
             ids.DomainName(fields.get('zone', '')),
-            MAX_ADDRESSES,
+            MAX_LOOKUP_ADDRESSES,
         )
         if not addresses:
             raise errors.FulmarseamError(
-                errors.ErrorKind.UNAVAILABLE, 'no entry is known yet'
+                errors.ErrorKind.UNAVAILABLE, 'no entry is ready yet'
             )
         body = json.dumps(
             {
                 'addresses': addresses,
-                'ttl': _values.write_seconds(self._lifetime_s),
+                'ttl': _values.format_seconds(self._lookup_ttl_s),
             }
         )
-        caller.answer(200, JSON, body.encode())
+        caller.answer(200, JSON_HEADERS, body.encode())
 
 
 def _split_target(request: http.Request) -> tuple[str, str]:
--- a/fulmarseam/platform/_headers.py
+++ b/fulmarseam/platform/_headers.py
@@ -1,10 +1,10 @@
-"""The platform's header names for the gateway."""
+"""The platform's HTTP names for the gateway."""
 
 from fulmarseam import gateway
 
-# The echo of the request id ties an answer to its request. A target that
-# has another id than the expected one answers 421. The affinity name is a
-# cookie, not a header.
+# A target echoes the request id, which ties its answer to the request. It
+# answers 421 if its own id is not the expected one. The affinity name is that
+# of a cookie, not of a header.
 HTTP_NAMES = gateway.HttpNames(
     request_id=b'x-request-id',
     deadline=b'x-deadline-ms',
--- a/fulmarseam/platform/_items.py
+++ b/fulmarseam/platform/_items.py
@@ -1,7 +1,7 @@
-"""Configuration items between the platform's form and the product's.
+"""Conversion of configuration items from and to the platform's JSON.
 
-An operator's call lists routes under the hosts that they belong to, pools
-under `services`, and one item of limits.
+An operator's call lists routes under their hosts, pools under `services`, and
+one item of limits.
 """
 
 from collections.abc import Iterable
@@ -13,8 +13,8 @@
 from fulmarseam import wire
 from fulmarseam.platform import _values
 
-_IDEMPOTENT = {'idempotent': True, 'non_idempotent': False}
-_KINDS = {
+_IS_IDEMPOTENT = {'idempotent': True, 'non_idempotent': False}
+_REMOVED_KINDS = {
     'routes': wire.ItemKind.ROUTE,
     'services': wire.ItemKind.POOL,
     'limits': wire.ItemKind.LIMITS,
@@ -25,7 +25,7 @@
 def read_call(body: bytes) -> list[wire.Item]:
     """Return the items of an operator's call.
 
-    Raises `UnreadableError` when any part of it cannot be read.
+    Raises `UnreadableError` if any part of it is malformed.
     """
     try:
         call = json.loads(body)
@@ -38,27 +38,27 @@
 
 
 def _read_upsert(upsert: dict[str, Any]) -> Iterator[wire.Item]:
-    for fields in _list_objects(upsert, 'services', 'upsert'):
+    for fields in _read_objects(upsert, 'services', 'upsert'):
         yield _read_pool(fields)
     if upsert.get('limits') is not None:
         yield _read_limits(
             _values.require(upsert['limits'], dict, 'upsert.limits')
         )
-    for entry in _list_objects(upsert, 'hosts', 'upsert'):
-        host = _values.read_field(entry, 'host', str, 'upsert.hosts')
-        for fields in _list_objects(entry, 'paths', f'host {host}'):
+    for host_fields in _read_objects(upsert, 'hosts', 'upsert'):
+        host = _values.read_field(host_fields, 'host', str, 'upsert.hosts')
+        for fields in _read_objects(host_fields, 'paths', f'host {host}'):
             yield _read_route(host, fields)
 
 
-def _list_objects(
-    fields: dict[str, Any], name: str, place: str
+def _read_objects(
+    fields: dict[str, Any], name: str, location: str
 ) -> list[dict[str, Any]]:
     found = fields.get(name)
     if found is None:
         return []
-    items = _values.require(found, list, f'{place}.{name}')
+    items = _values.require(found, list, f'{location}.{name}')
     return [
-        _values.require(item, dict, f'{place}.{name}[{position}]')
+        _values.require(item, dict, f'{location}.{name}[{position}]')
         for position, item in enumerate(items)
     ]
 
@@ -77,17 +77,17 @@
 
 def _read_pool(fields: dict[str, Any]) -> wire.Item:
     name = _values.read_field(fields, 'name', str, 'service')
-    place = f'service {name}'
+    location = f'service {name}'
     pool = wire.PoolItem(
         name=ids.PoolName(name),
-        version=_values.read_field(fields, 'version', int, place),
-        health_path=_values.read_field(fields, 'healthPath', str, place),
-        max_connections=_values.read_field(fields, 'maxConns', int, place),
-        # How long a target stays cold, not how long it is to be warmed.
-        cold_s=_values.read_ms(fields, 'warmup', place) / 1_000
+        version=_values.read_field(fields, 'version', int, location),
+        health_path=_values.read_field(fields, 'healthPath', str, location),
+        max_connections=_values.read_field(fields, 'maxConns', int, location),
+        # The time that a target stays cold, not a time to warm it up.
+        cold_s=_values.read_ms(fields, 'warmup', location) / 1_000
         if 'warmup' in fields
         else 0.0,
-        cold_per_s=_values.read_number(fields, 'warmupPerS', place)
+        cold_per_s=_values.read_number(fields, 'warmupPerS', location)
         if 'warmupPerS' in fields
         else 0.0,
     )
@@ -112,65 +112,65 @@
 
 def _read_route(host: str, fields: dict[str, Any]) -> wire.Item:
     name = _values.read_field(fields, 'name', str, f'host {host}')
-    place = f'route {name}'
-    kind = _values.read_field(fields, 'type', str, place)
-    if kind not in _IDEMPOTENT:
+    location = f'route {name}'
+    route_type = _values.read_field(fields, 'type', str, location)
+    if route_type not in _IS_IDEMPOTENT:
         raise _values.UnreadableError(
-            f'{place}.type: found {kind!r}, expected one of '
-            + ', '.join(_IDEMPOTENT)
+            f'{location}.type: found {route_type!r}, expected one of '
+            + ', '.join(_IS_IDEMPOTENT)
         )
-    timeout_ms = _values.read_ms(fields, 'timeout', place)
+    timeout_ms = _values.read_ms(fields, 'timeout', location)
     route = wire.RouteItem(
         name=ids.RouteName(name),
-        version=_values.read_field(fields, 'version', int, place),
+        version=_values.read_field(fields, 'version', int, location),
         host=host,
-        path_prefix=_values.read_field(fields, 'pathPrefix', str, place),
-        split=_read_split(fields, place),
+        path_prefix=_values.read_field(fields, 'pathPrefix', str, location),
+        split=_read_split(fields, location),
         timeout_ms=timeout_ms,
-        target_latency_ms=_values.read_ms(fields, 'targetLatency', place)
+        target_latency_ms=_values.read_ms(fields, 'targetLatency', location)
         if 'targetLatency' in fields
         else timeout_ms,
         priority=_values.require(
-            fields.get('priority', 0), int, f'{place}.priority'
+            fields.get('priority', 0), int, f'{location}.priority'
         ),
-        max_attempts=_values.read_field(fields, 'maxAttempts', int, place),
-        idempotent=_IDEMPOTENT[kind],
-        # Prefers the target that lately handled the same object.
+        max_attempts=_values.read_field(fields, 'maxAttempts', int, location),
+        idempotent=_IS_IDEMPOTENT[route_type],
+        # Prefers the target that recently handled the same object.
         sticky=_values.require(
             fields.get('sessionAffinity', False),
             bool,
-            f'{place}.sessionAffinity',
+            f'{location}.sessionAffinity',
         ),
         allowed_regions=[
-            _values.require(region, str, f'{place}.allowedRegions')
+            _values.require(region, str, f'{location}.allowedRegions')
             for region in _values.require(
                 fields.get('allowedRegions') or [],
                 list,
-                f'{place}.allowedRegions',
+                f'{location}.allowedRegions',
             )
         ],
     )
     return _make_item(wire.ItemKind.ROUTE, route, fields)
 
 
-def _read_split(fields: dict[str, Any], place: str) -> list[wire.SplitPart]:
+def _read_split(fields: dict[str, Any], location: str) -> list[wire.SplitPart]:
     if fields.get('split') is None:
-        pool = _values.read_field(fields, 'service', str, place)
+        pool = _values.read_field(fields, 'service', str, location)
         return [wire.SplitPart(ids.PoolName(pool), 1.0)]
     return [
         wire.SplitPart(
             ids.PoolName(
-                _values.read_field(part, 'service', str, f'{place}.split')
+                _values.read_field(part, 'service', str, f'{location}.split')
             ),
-            _values.read_number(part, 'weight', f'{place}.split'),
+            _values.read_number(part, 'weight', f'{location}.split'),
         )
-        for part in _list_objects(fields, 'split', place)
+        for part in _read_objects(fields, 'split', location)
     ]
 
 
 def _read_remove(remove: dict[str, Any]) -> Iterator[wire.Item]:
-    for key, kind in _KINDS.items():
-        for fields in _list_objects(remove, key, 'remove'):
+    for key, kind in _REMOVED_KINDS.items():
+        for fields in _read_objects(remove, key, 'remove'):
             name = _values.read_field(fields, 'name', str, f'remove.{key}')
             yield wire.Item(
                 kind=kind,
@@ -182,10 +182,10 @@
 
 
 def write_items(items: Iterable[wire.Item]) -> bytes:
-    """Return the body that lists all items that are not dropped."""
+    """Return the JSON body that lists all items, without dropped ones."""
     services: list[Any] = []
     hosts: dict[str, list[Any]] = {}
-    laid_out: dict[str, Any] = {'services': services}
+    config: dict[str, Any] = {'services': services}
     for item in items:
         if item.row is None:
             continue
@@ -194,10 +194,10 @@
             case wire.PoolItem():
                 services.append(fields)
             case wire.LimitsItem():
-                laid_out['limits'] = fields
+                config['limits'] = fields
             case wire.RouteItem():
                 hosts.setdefault(item.row.host, []).append(fields)
-    laid_out['hosts'] = [
+    config['hosts'] = [
         {'host': host, 'paths': paths} for host, paths in hosts.items()
     ]
-    return json.dumps(laid_out, separators=(',', ':')).encode()
+    return json.dumps(config, separators=(',', ':')).encode()
--- a/fulmarseam/platform/_programs.py
+++ b/fulmarseam/platform/_programs.py
@@ -17,13 +17,13 @@
 from fulmarseam import http
 from fulmarseam import settings
 from fulmarseam import telemetry
-from fulmarseam.platform import _calls
+from fulmarseam.platform import _control_api
 from fulmarseam.platform import _headers
 
-# Objects made between two young collections; see `commands.entry`.
+# Allocations between two collections of generation 0; see `commands.entry`.
 GC_THRESHOLD = 50_000
-# The settings file may change without a signal.
-SETTINGS_CHECK_S = 1.0
+# How often to check the settings file, which may change without a signal.
+SETTINGS_CHECK_INTERVAL_S = 1.0
 
 SchemaT = TypeVar('SchemaT')
 
@@ -34,7 +34,7 @@
     """Run a control member until it is told to stop."""
     options = settings.load_settings(path, settings.CatalogSettings)
     with _open_log(options.log_level):
-        _tune_collector()
+        _configure_gc()
         asyncio.run(_serve_control(path, options))
 
 
@@ -42,7 +42,7 @@
     """Run an entry until it is told to stop."""
     options = settings.load_settings(path, settings.GatewaySettings)
     with _open_log(options.log_level):
-        _tune_collector()
+        _configure_gc()
         asyncio.run(_serve_entry(path, options))
 
 
@@ -51,7 +51,7 @@
     return telemetry.open_log(None, level, stream)
 
 
-def _tune_collector() -> None:
+def _configure_gc() -> None:
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
@@ -64,33 +64,37 @@
         member = await stack.enter_async_context(
             control.CatalogMember(options)
         )
-        calls = _calls.ControlCalls(options, member)
+        control_api = _control_api.ControlApi(options, member)
         await stack.enter_async_context(
-            http.Server(options.api, calls.handle_order, gateway.make_answer)
+            http.Server(
+                options.api,
+                control_api.handle_api_request,
+                gateway.make_answer,
+            )
         )
         await stack.enter_async_context(
             http.Server(
-                options.lookups, calls.handle_lookup, gateway.make_answer
+                options.lookups, control_api.handle_lookup, gateway.make_answer
             )
         )
-        watch = asyncio.create_task(
+        settings_watch = asyncio.create_task(
             _watch_settings(
                 path,
                 settings.CatalogSettings,
                 lambda loaded: member.update_seeds(loaded.list_peers()),
             )
         )
-        stack.callback(watch.cancel)
+        stack.callback(settings_watch.cancel)
         _log.info(
             telemetry.format_event(
                 'started', host=options.host, api=options.api
             )
         )
-        waiting = asyncio.ensure_future(stopping.wait())
+        stop_wait = asyncio.ensure_future(stopping.wait())
         await asyncio.wait(
-            (waiting, member.failed), return_when=asyncio.FIRST_COMPLETED
+            (stop_wait, member.failed), return_when=asyncio.FIRST_COMPLETED
         )
-        waiting.cancel()
+        stop_wait.cancel()
         if member.failed.done():
             member.failed.result()
     _log.info(telemetry.format_event('stopped', host=options.host))
@@ -99,7 +103,7 @@
 async def _serve_entry(path: str, options: settings.GatewaySettings) -> None:
     entry = gateway.Gateway(options, _headers.HTTP_NAMES)
     _stop_on_signal(entry.stopping)
-    watch = asyncio.create_task(
+    settings_watch = asyncio.create_task(
         _watch_settings(
             path,
             settings.GatewaySettings,
@@ -109,7 +113,7 @@
     try:
         await entry.run()
     finally:
-        watch.cancel()
+        settings_watch.cancel()
 
 
 def _stop_on_signal(stopping: asyncio.Event) -> None:
@@ -119,26 +123,26 @@
 
 
 async def _watch_settings(
-    path: str, schema: type[SchemaT], take: Callable[[SchemaT], None]
+    path: str, schema: type[SchemaT], apply: Callable[[SchemaT], None]
 ) -> None:
-    """Pass on changed settings, on SIGHUP or when the file has changed.
+    """Reload the settings on SIGHUP and whenever the file has changed.
 
-    A file that cannot be used changes nothing.
+    `apply` gets the new settings. An invalid file is logged and ignored.
     """
     changed = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, changed.set)
-    known = _read_mark(path)
+    loaded_stamp = _read_file_stamp(path)
     while True:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SETTINGS_CHECK_S):
+            async with asyncio.timeout(SETTINGS_CHECK_INTERVAL_S):
                 await changed.wait()
-        mark = _read_mark(path)
-        if mark == known and not changed.is_set():
+        stamp = _read_file_stamp(path)
+        if stamp == loaded_stamp and not changed.is_set():
             continue
         changed.clear()
-        known = mark
+        loaded_stamp = stamp
         try:
-            take(settings.load_settings(path, schema))
+            apply(settings.load_settings(path, schema))
         except errors.SettingsError as error:
             _log.error(
                 telemetry.format_event('reload_failed', reason=error.detail)
@@ -147,8 +151,8 @@
         _log.info(telemetry.format_event('reloaded', path=path))
 
 
-def _read_mark(path: str) -> tuple[int, int] | None:
-    """Return what changes when a file is written anew."""
+def _read_file_stamp(path: str) -> tuple[int, int] | None:
+    """Return the modification time and size of a file, if it exists."""
     try:
         status = os.stat(path)
     except OSError:
--- a/fulmarseam/platform/_targets.py
+++ b/fulmarseam/platform/_targets.py
@@ -1,4 +1,4 @@
-"""Announcements of targets in the platform's form."""
+"""Conversion of target announcements from the platform's JSON."""
 
 from collections.abc import Mapping
 import json
@@ -20,7 +20,8 @@
 ) -> wire.TargetRecord:
     """Return the record of an announcement.
 
-    Raises `UnreadableError` for one that names no target to use.
+    Raises `UnreadableError` if the announcement is malformed or its target
+    cannot get requests.
     """
     fields = _read_object(body)
     info = _values.read_field(fields, 'info', dict, 'beat')
@@ -31,7 +32,7 @@
             f'status.state: found {state!r}, expected one of '
             + ', '.join(_PHASES)
         )
-    # The failure domain of the target, not of the sender of the call.
+    # The failure domain of the target, not that of the sender.
     domain = ids.DomainName(_values.read_field(info, 'zone', str, 'info'))
     slots = _values.read_field(info, 'slots', int, 'info')
     if slots < _MIN_SLOTS:
@@ -46,7 +47,7 @@
         failure_domain=domain,
         slots=slots,
         phase=_PHASES[state],
-        # The start of this incarnation; absent where ids are never reused.
+        # The start of this incarnation; absent if ids are never reused.
         born_ms=_values.require(fields.get('born', 0), int, 'beat.born'),
         sequence=_values.read_field(status, 'sequence', int, 'status'),
         cold_ms=_values.read_ms(status, 'warmupLeft', 'status')
@@ -56,7 +57,7 @@
 
 
 def read_leave(body: bytes) -> int:
-    """Return the incarnation that leaves, or 0 when the call names none."""
+    """Return the leaving incarnation, or 0 if the call names none."""
     if not body.strip():
         return 0
     fields = _read_object(body)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter to the platform, without the platform."""
+"""Tests of the platform adapter that need no platform."""
 
 import json
 import pathlib
@@ -50,7 +50,7 @@
 
 
 def make_call(**route_fields: object) -> bytes:
-    """Return an operator's call with changed fields of the route."""
+    """Return an operator's call with some fields of its route replaced."""
     route = {**ROUTE, **route_fields}
     return json.dumps(
         {
@@ -65,7 +65,7 @@
 
 
 class ItemsTest(unittest.TestCase):
-    """Guards against orders that are misread or read back changed."""
+    """Guards against misreading operators' calls or listing them changed."""
 
     def test_a_call_becomes_items(self) -> None:
         pool, limits, route, dropped = _items.read_call(make_call())
@@ -87,7 +87,7 @@
         sent = json.loads(make_call())['upsert']
         self.assertEqual(found, sent)
 
-    def test_what_cannot_be_read_is_refused(self) -> None:
+    def test_malformed_calls_are_rejected(self) -> None:
         bodies = {
             'cut short': make_call()[:-20],
             'no object': b'[]',
@@ -104,13 +104,13 @@
                     _items.read_call(body)
 
 
-class BeatTest(unittest.TestCase):
-    """Guards against announcements of another writer."""
+class HeartbeatTest(unittest.TestCase):
+    """Guards against misreading the announcements of other software."""
 
     DOMAINS = {'ost-wien': 'ost'}
 
     def _read(self, **fields: object) -> wire.TargetRecord:
-        beat = {
+        announcement = {
             'address': '10.0.0.9:8080',
             'born': 1_700_000_000_000,
             'info': {
@@ -125,18 +125,18 @@
                 'warmupLeft': '1500ms',
             },
         }
-        body = json.dumps({**beat, **fields}).encode()
+        body = json.dumps({**announcement, **fields}).encode()
         return _targets.read_heartbeat('i-1', body, self.DOMAINS)
 
-    def test_a_beat_becomes_a_record(self) -> None:
+    def test_an_announcement_becomes_a_record(self) -> None:
         record = self._read()
         self.assertEqual(record.region, 'ost')
         self.assertEqual(record.cold_ms, 1_500.0)
         self.assertEqual(record.born_ms, 1_700_000_000_000)
         self.assertIs(record.phase, wire.TargetPhase.READY)
 
-    def test_a_beat_that_names_no_target_is_refused(self) -> None:
-        wrong: dict[str, dict[str, object]] = {
+    def test_malformed_announcements_are_rejected(self) -> None:
+        malformed: dict[str, dict[str, object]] = {
             'address': {'address': 'nowhere'},
             'state': {'status': {'state': 'asleep', 'sequence': 1}},
             'sequence': {'status': {'state': 'ready', 'sequence': '1'}},
@@ -146,14 +146,14 @@
             },
             'born': {'born': 'yesterday'},
         }
-        for name, fields in wrong.items():
+        for name, fields in malformed.items():
             with self.subTest(name):
                 with self.assertRaises(_values.UnreadableError):
                     self._read(**fields)
         with self.assertRaises(_values.UnreadableError):
             _targets.read_heartbeat('i-1', b'\xff\x00', self.DOMAINS)
 
-    def test_the_incarnation_that_leaves_may_be_unnamed(self) -> None:
+    def test_a_leave_call_may_omit_the_incarnation(self) -> None:
         self.assertEqual(_targets.read_leave(b''), 0)
         self.assertEqual(_targets.read_leave(b'{"born": 5}'), 5)
 
@@ -185,13 +185,13 @@
 
 
 class TemplateTest(unittest.TestCase):
-    """Guards against templates that do not make valid settings."""
+    """Guards against templates that yield invalid settings."""
 
     def _fill(self, name: str) -> str:
         text = (ROOT / 'deploy' / name).read_text(encoding='utf-8')
         return re.sub(r'\{\{(.+?)\}\}', lambda match: FIELDS[match[1]], text)
 
-    def test_the_control_template_makes_valid_settings(self) -> None:
+    def test_the_control_template_yields_valid_settings(self) -> None:
         loaded = settings.read_settings(
             self._fill('control.yaml'), settings.CatalogSettings
         )
@@ -202,7 +202,7 @@
         self.assertEqual(loaded.heartbeat, 1.5)
         self.assertTrue(loaded.first_start)
 
-    def test_the_entry_template_makes_valid_settings(self) -> None:
+    def test_the_entry_template_yields_valid_settings(self) -> None:
         loaded = settings.read_settings(
             self._fill('entry.yaml'), settings.GatewaySettings
         )
