--- a/fulmarseam/client/_caller.py
+++ b/fulmarseam/client/_caller.py
@@ -77,17 +77,17 @@
     def __init__(
         self, apis: Sequence[str], region: str, address: str | None = None
     ) -> None:
-        self._exchanger = _exchange.Exchanger()
-        self._lookup = _lookup.Lookup(apis, region, self._exchanger, address)
+        self._http_client = _exchange.HttpClient()
+        self._lookup = _lookup.Lookup(apis, region, self._http_client, address)
         self._budget = steering.RetryBudget(OVERLOAD_RETRY_RATIO)
 
     async def __aenter__(self) -> Self:
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        self._exchanger.close()
+        self._http_client.close()
 
-    async def mint_request_id(self) -> ids.RequestId:
+    async def create_request_id(self) -> ids.RequestId:
         """Return a new request id, HOME.GENERATION.RANDOM.
 
         Raises `errors.FulmarseamError` when no entry answers a look-up or
@@ -126,7 +126,7 @@
         deadline = time.monotonic() + deadline_ms / 1_000
         answer = await self._lookup.get()
         if once and request_id is None:
-            request_id = await self.mint_request_id()
+            request_id = await self.create_request_id()
         attempts: list[Attempt] = []
         reply: _exchange.Reply | None = None
         self._budget.count_request()
@@ -157,14 +157,14 @@
             return False
         if errors.ANSWERS[kind].retry is not errors.Retry.OTHER_ENTRY:
             return False
-        return kind not in _OVERLOADED or self._budget.take()
+        return kind not in _OVERLOADED or self._budget.try_acquire()
 
     async def _attempt(
         self, address: str, request: _exchange.Request, left_s: float
     ) -> tuple[Attempt, _exchange.Reply | None]:
         sent = time.monotonic()
         try:
-            reply = await self._exchanger.send(
+            reply = await self._http_client.send(
                 address, request, left_s + ANSWER_GRACE_S
             )
         except _exchange.ExchangeError as error:
@@ -220,7 +220,7 @@
     Returns the results of all tries in order.
     """
     results: list[Result] = []
-    request_id = await caller.mint_request_id()
+    request_id = await caller.create_request_id()
     for _ in range(tries):
         result = await caller.call(request, deadline_ms, True, request_id)
         results.append(result)
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -150,7 +150,9 @@
     async def _run_member(self) -> None:
         """Return when the group has removed this member."""
         options = self._options
-        member_id = consensus.assign_member_id(options.data_dir, options.host)
+        member_id = consensus.load_or_assign_member_id(
+            options.data_dir, options.host
+        )
         self.catalog.reset()
         member = consensus.Member(
             consensus.MemberSettings(
@@ -161,7 +163,7 @@
                 members={},
                 election_min_s=ELECTION_MIN_S,
                 election_max_s=ELECTION_MAX_S,
-                discovery=consensus.Discovery(
+                discovery=consensus.DiscoverySettings(
                     host=options.host,
                     seeds=self._seeds,
                     wanted_voters=options.wanted_voters,
@@ -179,7 +181,7 @@
 
     async def _wait_for_end(self, member: consensus.Member) -> None:
         failed = asyncio.ensure_future(member.wait_failed())
-        retired = asyncio.ensure_future(member.wait_retired())
+        retired = asyncio.ensure_future(member.wait_removed())
         try:
             await asyncio.wait(
                 (failed, retired), return_when=asyncio.FIRST_COMPLETED
@@ -242,7 +244,7 @@
 
     # Orders
 
-    async def confirm(self) -> None:
+    async def wait_until_current(self) -> None:
         """Wait until this member holds everything accepted before the call.
 
         Raises `errors.FulmarseamError` with `UNAVAILABLE` when that is not
--- a/fulmarseam/platform/_control_api.py
+++ b/fulmarseam/platform/_control_api.py
@@ -78,7 +78,7 @@
         self, method: str, body: bytes, caller: http.CallerConnection
     ) -> None:
         if method == 'GET':
-            await self._member.confirm()
+            await self._member.wait_until_current()
             items = self._member.catalog.items.list_live()
             caller.answer(200, JSON_HEADERS, _items.write_items(items))
             return
--- a/fulmarseam/steering/__init__.py
+++ b/fulmarseam/steering/__init__.py
@@ -6,82 +6,82 @@
 entry owns the other tables.
 """
 
+from fulmarseam.steering._affinity import compute_region_shares
 from fulmarseam.steering._affinity import rank_targets
-from fulmarseam.steering._affinity import share_regions
 from fulmarseam.steering._allocator import Allocator
 from fulmarseam.steering._allocator import AllocatorOptions
 from fulmarseam.steering._allocator import Grants
-from fulmarseam.steering._budget import RetryBudget
 from fulmarseam.steering._choice import Choice
 from fulmarseam.steering._choice import choose_target
-from fulmarseam.steering._choice import Place
+from fulmarseam.steering._choice import Locality
 from fulmarseam.steering._choice import PoolView
 from fulmarseam.steering._links import LinkTokens
 from fulmarseam.steering._lookups import order_entries
-from fulmarseam.steering._observed import ColdBound
-from fulmarseam.steering._observed import DOUBTFUL_RATE
+from fulmarseam.steering._observed import ColdRateLimit
+from fulmarseam.steering._observed import compute_attempt_timeout
+from fulmarseam.steering._observed import compute_mean_failure_rate
+from fulmarseam.steering._observed import DOUBTFUL_FAILURE_RATE
 from fulmarseam.steering._observed import eject
 from fulmarseam.steering._observed import estimate_load
-from fulmarseam.steering._observed import find_failure_rate
-from fulmarseam.steering._observed import find_patience
 from fulmarseam.steering._observed import is_cold
 from fulmarseam.steering._observed import is_doubtful
 from fulmarseam.steering._observed import is_ejected
 from fulmarseam.steering._observed import is_silent
-from fulmarseam.steering._observed import may_take
+from fulmarseam.steering._observed import mark_cold
+from fulmarseam.steering._observed import may_send
 from fulmarseam.steering._observed import note_answer
 from fulmarseam.steering._observed import note_end
 from fulmarseam.steering._observed import note_failure
 from fulmarseam.steering._observed import note_report
 from fulmarseam.steering._observed import note_start
 from fulmarseam.steering._observed import ObservedTarget
-from fulmarseam.steering._observed import start_cold
 from fulmarseam.steering._outcomes import Judgement
 from fulmarseam.steering._outcomes import OutcomeTable
 from fulmarseam.steering._placement import place_request
-from fulmarseam.steering._placement import Placement as Placed
-from fulmarseam.steering._placement import Room
+from fulmarseam.steering._placement import Placement
+from fulmarseam.steering._placement import SlotAvailability
 from fulmarseam.steering._queue import Admission
 from fulmarseam.steering._queue import RequestQueue
 from fulmarseam.steering._queue import Ticket
-from fulmarseam.steering._repeats import RepeatBudget
+from fulmarseam.steering._retry_budget import RetryBudget
 from fulmarseam.steering._routes import compile_routes
 from fulmarseam.steering._routes import match_route
 from fulmarseam.steering._routes import RouteIndex
 from fulmarseam.steering._routes import RouteMatch
-from fulmarseam.steering._shifts import ShiftBook
 from fulmarseam.steering._shifts import ShiftCredit
-from fulmarseam.steering._slots import SlotBook
+from fulmarseam.steering._shifts import ShiftLimiter
+from fulmarseam.steering._slots import SlotTracker
 from fulmarseam.steering._split import Splitter
 from fulmarseam.steering._suspects import compute_fingerprint
 from fulmarseam.steering._suspects import Strike
 from fulmarseam.steering._suspects import SuspectState
 from fulmarseam.steering._suspects import SuspectTable
+from fulmarseam.steering._windowed_retry_budget import WindowedRetryBudget
 
 __all__ = [
-    'DOUBTFUL_RATE',
+    'DOUBTFUL_FAILURE_RATE',
     'Admission',
     'Allocator',
     'AllocatorOptions',
     'Choice',
-    'ColdBound',
+    'ColdRateLimit',
     'Grants',
     'Judgement',
     'LinkTokens',
     'ObservedTarget',
     'OutcomeTable',
-    'Place',
-    'Placed',
+    'Locality',
+    'Placement',
     'PoolView',
-    'RepeatBudget',
+    'WindowedRetryBudget',
     'RequestQueue',
     'RetryBudget',
-    'Room',
+    'SlotAvailability',
     'RouteIndex',
     'RouteMatch',
-    'ShiftBook',
+    'ShiftLimiter',
     'ShiftCredit',
-    'SlotBook',
+    'SlotTracker',
     'Splitter',
     'Strike',
     'SuspectState',
@@ -92,14 +92,14 @@
     'compute_fingerprint',
     'eject',
     'estimate_load',
-    'find_failure_rate',
-    'find_patience',
+    'compute_mean_failure_rate',
+    'compute_attempt_timeout',
     'is_cold',
     'is_doubtful',
     'is_ejected',
     'is_silent',
     'match_route',
-    'may_take',
+    'may_send',
     'note_answer',
     'note_end',
     'note_failure',
@@ -108,6 +108,6 @@
     'order_entries',
     'place_request',
     'rank_targets',
-    'share_regions',
-    'start_cold',
+    'compute_region_shares',
+    'mark_cold',
 ]
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -33,68 +33,70 @@
     """Guards against more moved traffic than the cap allows."""
 
     def test_moved_share_meets_the_percent(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(20.0)])
         moved = 0
         for _ in range(1_000):
-            book.arrive('p')
-            if book.preferred('p') == 'b':
-                moved += book.take('p', 'b')
+            book.count_arrival('p')
+            if book.get_preferred_region('p') == 'b':
+                moved += book.try_acquire('p', 'b')
         self.assertEqual(200, moved)
 
     def test_spill_over_takes_credit_too(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(20.0)])
-        self.assertEqual({'b'}, book.blocked('p'))
-        self.assertFalse(book.take('p', 'b'))
-        self.assertTrue(book.take('p', 'c'))
-        self.assertEqual(frozenset(), book.blocked('q'))
+        self.assertEqual({'b'}, book.list_blocked_regions('p'))
+        self.assertFalse(book.try_acquire('p', 'b'))
+        self.assertTrue(book.try_acquire('p', 'c'))
+        self.assertEqual(frozenset(), book.list_blocked_regions('q'))
 
     def test_credit_is_bounded(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
         for _ in range(1_000):
-            book.arrive('p')
-        self.assertEqual(10, sum(book.take('p', 'b') for _ in range(20)))
+            book.count_arrival('p')
+        self.assertEqual(
+            10, sum(book.try_acquire('p', 'b') for _ in range(20))
+        )
 
     def test_refund_gives_one_placement_back(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
-        book.arrive('p')
-        book.arrive('p')
-        self.assertTrue(book.take('p', 'b'))
+        book.count_arrival('p')
+        book.count_arrival('p')
+        self.assertTrue(book.try_acquire('p', 'b'))
         book.refund('p', 'b')
-        self.assertTrue(book.take('p', 'b'))
-        self.assertFalse(book.take('p', 'b'))
+        self.assertTrue(book.try_acquire('p', 'b'))
+        self.assertFalse(book.try_acquire('p', 'b'))
 
     def test_change_of_other_rows_keeps_the_credit(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(50.0)])
-        book.arrive('p')
+        book.count_arrival('p')
         book.update([make_shift(50.0), make_shift(10.0, name='t', pool='q')])
-        book.arrive('p')
-        self.assertEqual('b', book.preferred('p'))
+        book.count_arrival('p')
+        self.assertEqual('b', book.get_preferred_region('p'))
 
     def test_only_shifts_in_force_from_the_own_region_bind(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         for shift in (
             make_shift(20.0, wire.ShiftState.PLANNED),
             make_shift(20.0, wire.ShiftState.DONE),
             make_shift(20.0, from_region='c'),
         ):
             book.update([shift])
-            self.assertEqual(frozenset(), book.blocked('p'))
-            self.assertTrue(book.take('p', 'b'))
+            self.assertEqual(frozenset(), book.list_blocked_regions('p'))
+            self.assertTrue(book.try_acquire('p', 'b'))
         book.update([make_shift(20.0, wire.ShiftState.HELD)])
-        self.assertEqual({'b'}, book.blocked('p'))
+        self.assertEqual({'b'}, book.list_blocked_regions('p'))
 
     def test_percent_above_the_cap_counts_as_the_cap(self) -> None:
-        book = steering.ShiftBook('a')
+        book = steering.ShiftLimiter('a')
         book.update([make_shift(100.0, cap_percent=10.0)])
         for _ in range(19):
-            book.arrive('p')
-        self.assertTrue(book.take('p', 'b'))
-        self.assertFalse(book.take('p', 'b'))
+            book.count_arrival('p')
+        self.assertTrue(book.try_acquire('p', 'b'))
+        self.assertFalse(book.try_acquire('p', 'b'))
 
 
 class ShiftMachine(stateful.RuleBasedStateMachine):
@@ -102,7 +104,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.books = [steering.ShiftBook('a') for _ in range(3)]
+        self.books = [steering.ShiftLimiter('a') for _ in range(3)]
         self.percents = [0.0, 0.0, 0.0]
         self.allowed = 0.0
         self.moved = 0
@@ -126,9 +128,9 @@
     )
     def arrive(self, entry: int, count: int) -> None:
         for _ in range(count):
-            self.books[entry].arrive('p')
+            self.books[entry].count_arrival('p')
             self.allowed += self.percents[entry] / 100.0
-            if self.books[entry].preferred('p') and count % 3:
+            if self.books[entry].get_preferred_region('p') and count % 3:
                 self.place(entry)
 
     @stateful.rule(entry=strategies.integers(0, 2))
@@ -137,7 +139,7 @@
             self.place(entry)
 
     def place(self, entry: int) -> None:
-        if self.books[entry].take('p', 'b'):
+        if self.books[entry].try_acquire('p', 'b'):
             self.moved += 1
             self.taken[entry] += 1
 
@@ -150,7 +152,7 @@
 
     @stateful.rule(entry=strategies.integers(0, 2))
     def restart(self, entry: int) -> None:
-        self.books[entry] = steering.ShiftBook('a')
+        self.books[entry] = steering.ShiftLimiter('a')
         self.books[entry].update([make_shift(self.percents[entry])])
         self.taken[entry] = 0
 
@@ -219,7 +221,7 @@
     def test_waiting_requests_become_late(self) -> None:
         self.push('a', 0, 1.0)
         self.push('b', 1, 5.0)
-        late = self.queue.refuse_late(0.95, 0.1)
+        late = self.queue.remove_late(0.95, 0.1)
         self.assertEqual(['a'], [ticket.item for ticket in late])
         next_ticket = self.queue.peek()
         assert next_ticket is not None
@@ -243,7 +245,7 @@
         retries = 0
         for _ in range(1_000):
             budget.count_request()
-            retries += budget.take()
+            retries += budget.try_acquire()
         self.assertLessEqual(retries, 101)
         self.assertGreater(retries, 95)
 
@@ -251,7 +253,7 @@
         budget = steering.RetryBudget(0.1)
         for _ in range(10_000):
             budget.count_request()
-        self.assertEqual(10, sum(budget.take() for _ in range(100)))
+        self.assertEqual(10, sum(budget.try_acquire() for _ in range(100)))
 
 
 class SuspectTest(unittest.TestCase):
@@ -265,13 +267,13 @@
 
     def test_two_targets_quarantine_for_ten_minutes(self) -> None:
         state = steering.SuspectState
-        self.assertIs(state.CLEAR, self.table.state(0.0, 'f'))
+        self.assertIs(state.CLEAR, self.table.get_state(0.0, 'f'))
         self.assertIs(state.SUSPECT, self.strike(0.0, 'f', 't1'))
         self.assertIs(state.SUSPECT, self.strike(1.0, 'f', 't1'))
         self.assertIs(state.QUARANTINED, self.strike(2.0, 'f', 't2'))
-        self.assertFalse(self.table.start(3.0, 'f', 't3'))
-        self.assertIs(state.QUARANTINED, self.table.state(601.9, 'f'))
-        self.assertIs(state.CLEAR, self.table.state(602.0, 'f'))
+        self.assertFalse(self.table.try_start(3.0, 'f', 't3'))
+        self.assertIs(state.QUARANTINED, self.table.get_state(601.9, 'f'))
+        self.assertIs(state.CLEAR, self.table.get_state(602.0, 'f'))
         self.assertIs(state.SUSPECT, self.strike(603.0, 'f', 't3'))
 
     def test_repeated_strikes_do_not_extend_the_quarantine(self) -> None:
@@ -279,28 +281,28 @@
         self.strike(0.0, 'f', 't2')
         self.strike(599.0, 'f', 't2')
         self.assertIs(
-            steering.SuspectState.CLEAR, self.table.state(600.0, 'f')
+            steering.SuspectState.CLEAR, self.table.get_state(600.0, 'f')
         )
 
     def test_strikes_of_peers_count(self) -> None:
         self.strike(0.0, 'f', 't1')
         self.table.merge(0.0, [steering.Strike('f', 't2')] * 2)
         self.assertIs(
-            steering.SuspectState.QUARANTINED, self.table.state(0.0, 'f')
+            steering.SuspectState.QUARANTINED, self.table.get_state(0.0, 'f')
         )
 
     def test_one_suspect_at_a_time_runs_on_a_target(self) -> None:
         self.strike(0.0, 'f', 't1')
         self.strike(0.0, 'g', 't1')
-        self.assertTrue(self.table.start(1.0, 'f', 't2'))
-        self.assertEqual({'t2'}, self.table.occupied())
-        self.assertFalse(self.table.start(1.0, 'g', 't2'))
-        self.assertTrue(self.table.start(1.0, 'g', 't3'))
-        self.assertTrue(self.table.start(1.0, 'clear', 't2'))
+        self.assertTrue(self.table.try_start(1.0, 'f', 't2'))
+        self.assertEqual({'t2'}, self.table.list_occupied_targets())
+        self.assertFalse(self.table.try_start(1.0, 'g', 't2'))
+        self.assertTrue(self.table.try_start(1.0, 'g', 't3'))
+        self.assertTrue(self.table.try_start(1.0, 'clear', 't2'))
         self.table.finish('clear', 't2')
-        self.assertFalse(self.table.start(1.0, 'g', 't2'))
+        self.assertFalse(self.table.try_start(1.0, 'g', 't2'))
         self.table.finish('f', 't2')
-        self.assertTrue(self.table.start(1.0, 'g', 't2'))
+        self.assertTrue(self.table.try_start(1.0, 'g', 't2'))
 
     def test_full_answer_clears_the_strikes(self) -> None:
         self.strike(0.0, 'f', 't1')
