--- a/fulmarseam/gateway/__init__.py
+++ b/fulmarseam/gateway/__init__.py
@@ -1,8 +1,8 @@
 """An entry that serves from a catalog and observes the targets itself.
 
-It needs no grants: each entry keeps its own bounds, which are parts of the
-bounds of all entries together. So it goes on serving while it is cut off
-from the control members::
+It needs no grants: each entry enforces its own part of the bounds that hold
+for all entries together. It therefore keeps serving while it is cut off from
+the control members::
 
     await gateway.Gateway(options, http_names).run()
 """
@@ -11,4 +11,4 @@
 from fulmarseam.gateway._daemon import Gateway
 from fulmarseam.gateway._http_names import HttpNames
 
-__all__ = ['HttpNames', 'Gateway', 'make_answer']
+__all__ = ['Gateway', 'HttpNames', 'make_answer']
--- a/fulmarseam/gateway/_answers.py
+++ b/fulmarseam/gateway/_answers.py
@@ -1,14 +1,14 @@
-"""Answers that a gateway makes itself."""
+"""Error answers of the gateway itself."""
 
 import json
 
 from fulmarseam import errors
 from fulmarseam import http
 
-# How long a caller should wait before it tries again, in seconds. Without
-# room a slot is free after about one service time. When all hosts start
-# again, the members need about a second to elect a leader, before which no
-# entry has a configuration.
+# How long a caller should wait before it retries, by error. Without capacity
+# a slot becomes free after about one service time. After a restart of all
+# hosts the control members need about a second to elect a leader, before
+# which no entry has a configuration.
 RETRY_AFTER_S = {
     errors.ErrorKind.NO_CAPACITY: 0.25,
     errors.ErrorKind.TARGET_SHED: 0.25,
@@ -19,7 +19,7 @@
 
 
 def make_answer(error: errors.FulmarseamError) -> http.OwnAnswer:
-    """Return the answer for an error."""
+    """Return the answer that tells a caller about an error."""
     answer = error.answer
     body = json.dumps(
         {
--- /dev/null
+++ b/fulmarseam/gateway/_attempts.py
@@ -0,0 +1,294 @@
+"""One attempt to get a request answered by a target."""
+
+import asyncio
+from typing import NamedTuple
+
+from fulmarseam import http
+from fulmarseam import steering
+from fulmarseam.gateway import _http_names
+from fulmarseam.gateway import _requests
+
+# Answers up to this size are buffered and passed on only when complete, so
+# that the request can still be retried if the answer breaks off.
+MAX_BUFFERED_ANSWER_BYTES = 256 * 1024
+# A target that does not accept a connection within this time is ejected. The
+# longest round trip is 40 ms.
+CONNECT_TIMEOUT_S = 0.4
+MISDIRECTED_STATUS = 421
+
+_DROPPED_REQUEST_HEADERS = http.HOP_BY_HOP | {b'expect', b'keep-alive'}
+
+
+class NotRunError(Exception):
+    """A target declared that it did not run the request.
+
+    `is_misdirected` is set if another target now has the address.
+    """
+
+    def __init__(self, detail: str, is_misdirected: bool = False) -> None:
+        super().__init__(detail)
+        self.is_misdirected = is_misdirected
+
+
+class Answer(NamedTuple):
+    """A target's answer; `body` is None if it must be streamed."""
+
+    response: http.Response
+    body: bytes | None
+
+
+class Attempt:
+    """Sends a request to one target and reads the answer.
+
+    `first_byte_deadline` bounds the wait for the head of the answer, and the
+    deadline of the request bounds the rest. Both are in seconds of the event
+    loop's clock.
+    """
+
+    def __init__(
+        self,
+        context: _requests.RequestContext,
+        target: steering.ObservedTarget,
+        pool: http.TargetPool,
+        http_names: _http_names.HttpNames,
+        first_byte_deadline: float,
+    ) -> None:
+        self._context = context
+        self._target = target
+        self._pool = pool
+        self._http_names = http_names
+        self._first_byte_deadline = first_byte_deadline
+        self._loop = asyncio.get_running_loop()
+        self._is_uploading = True
+        self._is_reused = False
+        self._connection: http.TargetConnection | None = None
+        self._buffered_chunks: list[bytes] = []
+        self.progress = http.Progress.NOT_SENT
+        self.load_report = b''
+        self.has_answered = False
+
+    async def run(self) -> Answer:
+        """Return the answer, with its whole body unless that is too large.
+
+        Raises `http.TargetError`, `NotRunError`, `http.CallerGoneError` or
+        `errors.FulmarseamError`. `progress` then tells whether the target
+        may have got the request.
+        """
+        while True:
+            connection = self._pool.take_idle(self._context.signal)
+            self._is_reused = connection is not None
+            if connection is None:
+                connection = await self._open()
+            self._connection = connection
+            try:
+                return await self._run_on(connection)
+            except http.TargetError as error:
+                # Replace an idle connection that the target had closed
+                # before any byte was written.
+                is_unsent = error.progress is http.Progress.NOT_SENT
+                if not self._is_reused or not is_unsent:
+                    raise
+                self.close()
+            finally:
+                self.progress = connection.progress
+
+    def record_lost_idle(self) -> bool:
+        """Return whether the lost connection was a reused idle one.
+
+        Such a loss does not mean that the target failed, only that it had
+        dropped the idle connection. The pool adapts its idle timeout.
+        """
+        connection = self._connection
+        if connection is None or not self._is_reused or self.has_answered:
+            return False
+        self._pool.note_lost_idle(connection.idle_s)
+        return True
+
+    def close(self) -> None:
+        """Release the connection, which is closed unless it is reusable."""
+        if self._connection is not None:
+            self._pool.release(self._connection)
+            self._connection = None
+
+    async def _open(self) -> http.TargetConnection:
+        remaining_s = self._context.deadline - self._loop.time()
+        if remaining_s <= 0.0:
+            raise self._make_timeout_error('the deadline passed')
+        return await self._pool.open(
+            self._context.signal, min(remaining_s, CONNECT_TIMEOUT_S)
+        )
+
+    async def _run_on(self, connection: http.TargetConnection) -> Answer:
+        self._send(connection)
+        response = await self._wait_for_response(connection)
+        self.has_answered = True
+        self._pool.note_keep_alive(response)
+        self.load_report = response.fields.get(self._http_names.load, b'')
+        self._check_response(response)
+        return Answer(response, await self._buffer_body(connection))
+
+    # Sending the request
+
+    def _send(self, connection: http.TargetConnection) -> None:
+        context = self._context
+        connection.send_head(
+            context.request.method,
+            context.request_path,
+            self._make_headers(),
+            are_checked=True,
+        )
+        for chunk in context.body_chunks:
+            connection.send_data(chunk)
+        if context.caller.body_done:
+            connection.end_request()
+            self._is_uploading = False
+        else:
+            connection.flush()
+
+    def _make_headers(self) -> http.Headers:
+        context = self._context
+        http_names = self._http_names
+        headers = http.drop_headers(
+            context.request.headers,
+            context.request.fields,
+            _DROPPED_REQUEST_HEADERS
+            | {http_names.deadline, http_names.expected_target},
+        )
+        remaining_ms = int((context.deadline - self._loop.time()) * 1_000)
+        headers.append((http_names.deadline, b'%d' % max(1, remaining_ms)))
+        headers.append(
+            (http_names.expected_target, self._target.target.encode('latin-1'))
+        )
+        if context.request.length is None:
+            headers.append((b'transfer-encoding', b'chunked'))
+        return headers
+
+    def _upload(self, connection: http.TargetConnection) -> None:
+        """Send what has arrived of the rest of the body, unbuffered."""
+        caller = self._context.caller
+        while self._is_uploading and not connection.write_paused:
+            chunk = caller.poll_body()
+            if chunk is None:
+                caller.start_body_timeout()
+                connection.flush()
+                return
+            if not chunk:
+                connection.end_request()
+                self._is_uploading = False
+                caller.stop_body_timeout()
+                return
+            self._context.is_replayable = False
+            connection.send_data(chunk)
+
+    # Reading the answer
+
+    async def _wait_for_response(
+        self, connection: http.TargetConnection
+    ) -> http.Response:
+        while True:
+            response = connection.poll_response()
+            if response is None:
+                self._upload(connection)
+                await self._wait_for_event(self._first_byte_deadline)
+            elif self._is_reused and self._answers_other_request(response):
+                await self._skip_body(connection)
+                connection.expect_another()
+            else:
+                return response
+
+    def _answers_other_request(self, response: http.Response) -> bool:
+        """Return whether an answer has the id of another request."""
+        answer_id = response.fields.get(self._http_names.request_id)
+        return answer_id is not None and answer_id != self._context.request_id
+
+    async def _skip_body(self, connection: http.TargetConnection) -> None:
+        while (chunk := connection.poll_body()) != b'':
+            if chunk is None:
+                await self._wait_for_event(self._first_byte_deadline)
+
+    def _check_response(self, response: http.Response) -> None:
+        """Check that a target ran this request.
+
+        Raises `NotRunError` if the target declares that it did not, and
+        `http.TargetError` for an answer to another request, which may
+        arrive late on a reused connection.
+        """
+        http_names = self._http_names
+        has_no_id = http_names.request_id not in response.fields
+        if self._answers_other_request(response) or (
+            has_no_id and response.status < 300
+        ):
+            raise http.TargetError(
+                http.Reason.MALFORMED,
+                http.Progress.MAY_HAVE_SENT,
+                'the answer is to another request',
+            )
+        if response.status == MISDIRECTED_STATUS:
+            raise NotRunError('another target has the address', True)
+        if http_names.not_run in response.fields:
+            raise NotRunError(f'the target answered {response.status}')
+
+    async def _buffer_body(
+        self, connection: http.TargetConnection
+    ) -> bytes | None:
+        """Return the whole body, or None if it is too large to buffer."""
+        buffered_bytes = 0
+        while True:
+            chunk: bytes | None = connection.poll_body()
+            if chunk == b'':
+                return b''.join(self._buffered_chunks)
+            if chunk is None:
+                await self._wait_for_event(self._context.deadline)
+                continue
+            self._buffered_chunks.append(chunk)
+            buffered_bytes += len(chunk)
+            if buffered_bytes > MAX_BUFFERED_ANSWER_BYTES:
+                return None
+
+    async def stream_body(self) -> None:
+        """Stream a large answer to the caller, from its first byte.
+
+        Raises `http.TargetError` if the answer breaks off. The caller's
+        connection must then be closed, so that the body does not look
+        complete.
+        """
+        connection = self._connection
+        assert connection is not None
+        caller = self._context.caller
+        for buffered in self._buffered_chunks:
+            caller.send_data(buffered)
+        self._buffered_chunks = []
+        while True:
+            chunk: bytes | None = None
+            if not caller.write_paused:
+                chunk = connection.poll_body()
+            if chunk == b'':
+                caller.end_response()
+                return
+            if chunk is not None:
+                caller.send_data(chunk)
+                continue
+            caller.flush()
+            await self._wait_for_event(self._context.deadline)
+
+    async def _wait_for_event(self, deadline: float) -> None:
+        """Wait for an event of the caller or the target.
+
+        Raises `http.CallerGoneError` if the caller has left, and
+        `http.TargetError` at the deadline.
+        """
+        timer = self._loop.call_at(deadline, self._context.signal.notify)
+        try:
+            await self._context.signal.wait()
+        finally:
+            timer.cancel()
+        if self._context.caller.gone:
+            raise http.CallerGoneError('the caller has left')
+        if self._loop.time() >= deadline:
+            raise self._make_timeout_error('no answer in time')
+
+    def _make_timeout_error(self, detail: str) -> http.TargetError:
+        progress = http.Progress.NOT_SENT
+        if self._connection is not None:
+            progress = self._connection.progress
+        return http.TargetError(http.Reason.TIMED_OUT, progress, detail)
--- a/fulmarseam/gateway/_daemon.py
+++ b/fulmarseam/gateway/_daemon.py
@@ -1,4 +1,4 @@
-"""The gateway: its servers, its tick and its graceful stop."""
+"""The gateway process: its servers, periodic work and graceful stop."""
 
 import asyncio
 import contextlib
@@ -11,21 +11,21 @@
 from fulmarseam import settings
 from fulmarseam import telemetry
 from fulmarseam.gateway import _answers
-from fulmarseam.gateway import _fleet
 from fulmarseam.gateway import _forwarding
 from fulmarseam.gateway import _http_names
+from fulmarseam.gateway import _load_balancer
 from fulmarseam.gateway import _poller
 from fulmarseam.gateway import _routes
 
 TICK_S = 1.0
-# Parts of the time between the signal to stop and its end: callers may
-# still come with an answer of a look-up that they hold for three lifetimes,
-# then what is in flight ends.
-LISTEN_SHARE = 0.75
-FINISH_SHARE = 0.95
-# Idle connections are kept for longer than callers reuse them, which is
-# four fifths of the limit that they are told.
-IDLE_FACTOR = 1.5
+# Fraction of the grace period for which a stopping gateway keeps listening,
+# because callers use a look-up answer for three times its TTL.
+LISTEN_GRACE_FRACTION = 0.75
+# Fraction of the grace period after which requests in flight are cut off.
+FINISH_GRACE_FRACTION = 0.95
+# Idle connections are kept for longer than callers reuse them, which is four
+# fifths of the idle timeout that they are told.
+IDLE_TIMEOUT_FACTOR = 1.5
 METRICS_PATH = '/metrics'
 
 _log = logbook.Logger('gateway')
@@ -45,69 +45,69 @@
         self.stopping = asyncio.Event()
         self.metrics = telemetry.Metrics()
         self.mirror = catalog.CatalogMirror()
-        self.fleet = _fleet.Fleet(options, self.mirror)
-        self.routes = _routes.RouteBook()
-        self.poller = _poller.Poller(options, self.mirror, self._take_change)
+        self.load_balancer = _load_balancer.LoadBalancer(options, self.mirror)
+        self.routes = _routes.RouteTable()
+        self.poller = _poller.Poller(options, self.mirror, self._apply_catalog)
         self._request_log = telemetry.RequestLog()
-        self._connections = http.TargetPools()
+        self._target_pools = http.TargetPools()
         forwarder = _forwarding.Forwarder(
-            _forwarding.Services(
+            _forwarding.Dependencies(
                 mirror=self.mirror,
                 routes=self.routes,
-                fleet=self.fleet,
-                connections=self._connections,
+                load_balancer=self.load_balancer,
+                target_pools=self._target_pools,
                 http_names=http_names,
                 metrics=self.metrics,
                 request_log=self._request_log,
             )
         )
-        self.callers = http.Server(
+        self.caller_server = http.Server(
             options.listen,
             forwarder.handle,
             _answers.make_answer,
             http.Limits(max_connections=options.max_connections),
         )
-        self._checks = http.Server(
-            options.readiness, self._answer_check, _answers.make_answer
+        self._check_server = http.Server(
+            options.readiness, self._handle_check, _answers.make_answer
         )
-        self._observe()
+        self._register_gauges()
 
-    def _observe(self) -> None:
+    def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
         observe = self.metrics.observe
-        observe('requests_running', lambda: self.callers.busy)
-        observe('caller_connections', lambda: self.callers.connections)
+        observe('requests_running', lambda: self.caller_server.busy)
+        observe('caller_connections', lambda: self.caller_server.connections)
         observe('revision', lambda: self.mirror.revision)
-        observe('targets_ready', self.fleet.count_ready)
-        observe('requests_in_flight', self.fleet.count_in_flight)
+        observe('targets_ready', self.load_balancer.count_ready)
+        observe('requests_in_flight', self.load_balancer.count_in_flight)
         observe('senders', lambda: self.poller.senders)
 
-    def _take_change(self) -> None:
-        """Put a changed catalog in force."""
+    def _apply_catalog(self) -> None:
+        """Apply a changed catalog to routes, targets and limits."""
         self.routes.update(self.mirror.routes.values())
-        self.fleet.set_senders(self.poller.senders)
-        self.fleet.update(self._loop.time())
+        self.load_balancer.set_senders(self.poller.senders)
+        self.load_balancer.update(self._loop.time())
         limits = self.mirror.limits
         if limits is not None:
-            self.callers.set_limits(
+            self.caller_server.set_limits(
                 http.Limits(
                     max_header_bytes=limits.max_header_bytes,
                     max_body_bytes=limits.max_body_bytes,
                     max_connections=self._options.max_connections,
                     header_timeout_s=limits.header_timeout_ms / 1_000,
                     idle_timeout_s=(
-                        limits.idle_timeout_ms / 1_000 * IDLE_FACTOR
+                        limits.idle_timeout_ms / 1_000 * IDLE_TIMEOUT_FACTOR
                     ),
                 )
             )
 
-    # Checks
+    # Readiness checks and metrics
 
     def is_ready(self) -> bool:
-        """Return whether new callers may come."""
+        """Return whether new callers may be sent to this gateway."""
         return self.mirror.is_complete and not self.stopping.is_set()
 
-    async def _answer_check(
+    async def _handle_check(
         self, request: http.Request, caller: http.CallerConnection
     ) -> None:
         path = request.target.partition(b'?')[0].decode('latin-1')
@@ -120,17 +120,17 @@
         else:
             raise errors.FulmarseamError(errors.ErrorKind.NOT_FOUND, path)
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
         """Serve until `stopping` is set, then stop gracefully."""
         async with contextlib.AsyncExitStack() as stack:
-            await stack.enter_async_context(self._connections)
-            await stack.enter_async_context(self._checks)
-            await stack.enter_async_context(self.callers)
+            await stack.enter_async_context(self._target_pools)
+            await stack.enter_async_context(self._check_server)
+            await stack.enter_async_context(self.caller_server)
             await stack.enter_async_context(self.poller)
-            tick = asyncio.create_task(self._tick())
-            stack.callback(tick.cancel)
+            tick_task = asyncio.create_task(self._tick())
+            stack.callback(tick_task.cancel)
             _log.info(
                 telemetry.format_event(
                     'started',
@@ -145,34 +145,38 @@
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
-            self.fleet.set_senders(self.poller.senders)
+            self.load_balancer.set_senders(self.poller.senders)
             self._request_log.tick()
 
     async def _drain(self) -> None:
-        """Leave the look-ups, let their answers lapse, finish requests."""
-        started = self._loop.time()
+        """Leave the look-ups, let cached answers expire, finish requests."""
+        started_at = self._loop.time()
         grace = self._options.grace
         self.poller.is_draining = True
         self.poller.poll_now()
-        self.callers.announce_close()
+        self.caller_server.announce_close()
         _log.info(
-            telemetry.format_event('drain_started', busy=self.callers.busy)
+            telemetry.format_event(
+                'drain_started', busy=self.caller_server.busy
+            )
+        )
+        await asyncio.sleep(grace * LISTEN_GRACE_FRACTION)
+        self.caller_server.close_listener()
+        self.caller_server.start_draining()
+        remaining_s = (
+            started_at + grace * FINISH_GRACE_FRACTION - self._loop.time()
         )
-        await asyncio.sleep(grace * LISTEN_SHARE)
-        self.callers.close_listener()
-        self.callers.start_draining()
-        left_s = started + grace * FINISH_SHARE - self._loop.time()
         try:
-            async with asyncio.timeout(left_s):
-                await self.callers.wait_until_idle()
+            async with asyncio.timeout(remaining_s):
+                await self.caller_server.wait_until_idle()
         except TimeoutError:
             _log.warning(
                 telemetry.format_event(
-                    'drain_cut_short', busy=self.callers.busy
+                    'drain_cut_short', busy=self.caller_server.busy
                 )
             )
         _log.info(
             telemetry.format_event(
-                'drained', drain_s=self._loop.time() - started
+                'drained', drain_s=self._loop.time() - started_at
             )
         )
--- a/fulmarseam/gateway/_forwarding.py
+++ b/fulmarseam/gateway/_forwarding.py
@@ -1,4 +1,4 @@
-"""The path of a caller's request through a gateway."""
+"""Forwarding of callers' requests to targets, with retries."""
 
 import asyncio
 from typing import NamedTuple
@@ -11,59 +11,61 @@
 from fulmarseam import ids
 from fulmarseam import steering
 from fulmarseam import telemetry
-from fulmarseam.gateway import _exchange
-from fulmarseam.gateway import _fleet
+from fulmarseam.gateway import _attempts
 from fulmarseam.gateway import _http_names
+from fulmarseam.gateway import _load_balancer
 from fulmarseam.gateway import _requests
 from fulmarseam.gateway import _routes
 from fulmarseam.gateway import _summaries
 
-# Time kept back so that the answer reaches the caller before its deadline.
+# Time reserved so that the answer reaches the caller before its deadline.
 ANSWER_MARGIN_S = 0.02
 
 _log = logbook.Logger('gateway')
 
 
-class Services(NamedTuple):
-    """What the path of a request uses."""
+class Dependencies(NamedTuple):
+    """The objects that a forwarder uses."""
 
     mirror: catalog.CatalogMirror
-    routes: _routes.RouteBook
-    fleet: _fleet.Fleet
-    connections: http.TargetPools
+    routes: _routes.RouteTable
+    load_balancer: _load_balancer.LoadBalancer
+    target_pools: http.TargetPools
     http_names: _http_names.HttpNames
     metrics: telemetry.Metrics
     request_log: telemetry.RequestLog
 
 
-class _Failure(NamedTuple):
-    """An attempt that failed, and whether another one may follow.
+class _FailedAttempt(NamedTuple):
+    """Why an attempt failed, and whether another one may follow.
 
-    `same_target` is set when the target is as good as any other for it.
+    `may_reuse_target` is set if the next attempt may use the same target.
     """
 
     error: errors.FulmarseamError
-    may_repeat: bool
-    same_target: bool = False
+    may_retry: bool
+    may_reuse_target: bool = False
 
 
 class Forwarder:
     """Forwards callers' requests to targets."""
 
-    def __init__(self, services: Services) -> None:
-        self._services = services
+    def __init__(self, dependencies: Dependencies) -> None:
+        self._dependencies = dependencies
         self._splitter = steering.Splitter()
         self._loop = asyncio.get_running_loop()
 
     async def handle(
         self, request: http.Request, caller: http.CallerConnection
     ) -> None:
-        """Handle one request; the handler of the callers' server."""
+        """Handle one request of the server for callers."""
         now = self._loop.time()
-        job = _requests.Job(request, caller, now, self._services.http_names)
+        context = _requests.RequestContext(
+            request, caller, now, self._dependencies.http_names
+        )
         summary = _summaries.RequestSummary()
         try:
-            await self._serve(job, summary)
+            await self._process(context, summary)
         except errors.FulmarseamError as error:
             summary.outcome = error.kind.value
             summary.detail = error.detail
@@ -72,297 +74,332 @@
             summary.outcome = errors.ErrorKind.CALLER_GONE.value
             raise
         finally:
-            self._record(job, summary)
+            self._record(context, summary)
 
     def _record(
-        self, job: _requests.Job, summary: _summaries.RequestSummary
+        self,
+        context: _requests.RequestContext,
+        summary: _summaries.RequestSummary,
     ) -> None:
-        """Count the request and write its line."""
+        """Update the metrics and write the log line of a request."""
         now = self._loop.time()
-        services = self._services
-        services.metrics.add(
+        dependencies = self._dependencies
+        dependencies.metrics.add(
             'requests_total', route=summary.route, outcome=summary.outcome
         )
-        services.metrics.record(
-            'request_seconds', now - job.arrived_at, outcome=summary.outcome
+        dependencies.metrics.record(
+            'request_seconds',
+            now - context.arrived_at,
+            outcome=summary.outcome,
+        )
+        summary.write(
+            dependencies.request_log,
+            context,
+            now,
+            dependencies.mirror.revision,
         )
-        summary.write(services.request_log, job, now, services.mirror.revision)
 
-    async def _serve(
-        self, job: _requests.Job, summary: _summaries.RequestSummary
+    async def _process(
+        self,
+        context: _requests.RequestContext,
+        summary: _summaries.RequestSummary,
     ) -> None:
-        """Answer a request, or raise why it cannot be."""
-        services = self._services
-        if not services.mirror.is_complete:
+        """Answer a request, or raise the error that the caller gets."""
+        dependencies = self._dependencies
+        if not dependencies.mirror.is_complete:
             raise errors.FulmarseamError(
                 errors.ErrorKind.CONFIG_STALE,
                 'the configuration is not known yet',
             )
-        job.route = services.routes.match(job.host, job.path)
-        summary.route = job.route.name
-        self._set_deadline(job)
-        pool_name = self._splitter.choose_pool(job.route)
+        context.route = dependencies.routes.match(context.host, context.path)
+        summary.route = context.route.name
+        self._set_deadline(context)
+        pool_name = self._splitter.choose_pool(context.route)
         summary.pool = pool_name
-        services.fleet.count_request(self._loop.time(), pool_name)
-        await job.hold_body()
-        await self._attempt_all(job, pool_name, summary)
+        dependencies.load_balancer.count_request(self._loop.time(), pool_name)
+        await context.buffer_body()
+        await self._attempt_until_done(context, pool_name, summary)
 
-    def _set_deadline(self, job: _requests.Job) -> None:
-        stated_ms = _requests.read_deadline_ms(
-            job.request, self._services.http_names
+    def _set_deadline(self, context: _requests.RequestContext) -> None:
+        caller_timeout_ms = _requests.read_deadline_ms(
+            context.request, self._dependencies.http_names
+        )
+        timeout_ms = context.route.timeout_ms
+        if caller_timeout_ms is not None:
+            timeout_ms = min(timeout_ms, caller_timeout_ms)
+        context.deadline = (
+            context.arrived_at + timeout_ms / 1_000 - ANSWER_MARGIN_S
         )
-        time_ms = job.route.timeout_ms
-        if stated_ms is not None:
-            time_ms = min(time_ms, stated_ms)
-        job.deadline = job.arrived_at + time_ms / 1_000 - ANSWER_MARGIN_S
 
-    async def _attempt_all(
+    async def _attempt_until_done(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         pool_name: ids.PoolName,
         summary: _summaries.RequestSummary,
     ) -> None:
-        """Attempt a job until it is answered or may not be repeated.
+        """Make attempts until one is answered or no retry is allowed.
 
-        Once an attempt may have run, that is what the caller learns,
-        whatever ends a later attempt.
+        Once a target may have run the request, the caller gets the error of
+        that attempt, however later attempts fail.
         """
-        key = _requests.read_affinity(job.request, self._services.http_names)
-        summary.key = key or ''
+        affinity_key = _requests.read_affinity(
+            context.request, self._dependencies.http_names
+        )
+        summary.affinity_key = affinity_key or ''
         avoided: set[ids.TargetId] = set()
-        may_have_run: errors.FulmarseamError | None = None
+        possible_run_error: errors.FulmarseamError | None = None
         while True:
             now = self._loop.time()
-            placed = self._services.fleet.place(
-                now, job.route, pool_name, key, avoided, job.deadline - now
+            placement = self._dependencies.load_balancer.place(
+                now,
+                context.route,
+                pool_name,
+                affinity_key,
+                avoided,
+                context.deadline - now,
             )
-            if placed.target is None:
-                raise may_have_run or self._refuse(pool_name, avoided)
-            summary.targets.append(placed.target.target)
-            failure = await self._attempt(job, placed.target, summary)
+            if placement.target is None:
+                raise possible_run_error or self._make_refusal(
+                    pool_name, avoided
+                )
+            summary.targets.append(placement.target.target)
+            failure = await self._attempt(context, placement.target, summary)
             if failure is None:
                 return
             summary.targets[-1] += f':{failure.error.kind.value}'
             if failure.error.answer.outcome is not errors.Outcome.NOT_RUN:
-                may_have_run = failure.error
-            if not failure.same_target:
-                avoided.add(placed.target.target)
-            if not failure.may_repeat:
-                raise may_have_run or failure.error
+                possible_run_error = failure.error
+            if not failure.may_reuse_target:
+                avoided.add(placement.target.target)
+            if not failure.may_retry:
+                raise possible_run_error or failure.error
 
-    def _refuse(
+    def _make_refusal(
         self, pool_name: ids.PoolName, avoided: set[ids.TargetId]
     ) -> errors.FulmarseamError:
-        inputs = self._services.fleet.describe_pool(
+        load = self._dependencies.load_balancer.describe_load(
             self._loop.time(), pool_name
         )
         if avoided:
             return errors.FulmarseamError(
                 errors.ErrorKind.TARGET_SHED,
-                f'{len(avoided)} targets did not run it, no other has room: '
-                + inputs,
+                f'{len(avoided)} targets did not run it, no other has '
+                'capacity: ' + load,
             )
         return errors.FulmarseamError(
-            errors.ErrorKind.NO_CAPACITY, f'no target has room: {inputs}'
+            errors.ErrorKind.NO_CAPACITY, f'no target has capacity: {load}'
         )
 
     async def _attempt(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         target: steering.ObservedTarget,
         summary: _summaries.RequestSummary,
-    ) -> _Failure | None:
-        """Use a target; None when the caller has its answer."""
-        services = self._services
-        started = self._loop.time()
-        pool_item = services.mirror.pools.get(target.record.pool)
-        limit = pool_item.max_connections if pool_item else 1
-        exchange = _exchange.Exchange(
-            job,
+    ) -> _FailedAttempt | None:
+        """Try one target; return None if the caller got its answer."""
+        dependencies = self._dependencies
+        started_at = self._loop.time()
+        pool_item = dependencies.mirror.pools.get(target.record.pool)
+        max_connections = pool_item.max_connections if pool_item else 1
+        attempt = _attempts.Attempt(
+            context,
             target,
-            services.connections.get(target.record.address, limit),
-            services.http_names,
-            self._find_patience(job, target, started),
+            dependencies.target_pools.get(
+                target.record.address, max_connections
+            ),
+            dependencies.http_names,
+            self._compute_first_byte_deadline(context, target, started_at),
         )
         try:
-            answer = await exchange.run()
-            self._note_answer(target, exchange, answer, started)
-            if self._may_replace(job, target, answer):
-                return _Failure(
+            answer = await attempt.run()
+            self._record_answer(target, attempt, answer, started_at)
+            if self._may_retry_error_answer(context, target, answer):
+                return _FailedAttempt(
                     errors.FulmarseamError(
-                        errors.ErrorKind.TARGET_FAILED, 'answered 500'
+                        errors.ErrorKind.TARGET_FAILED,
+                        'the target answered 500',
                     ),
                     True,
                 )
             summary.status = answer.response.status
             summary.outcome = _summaries.ANSWERED
-            await self._pass_on(job, exchange, answer)
+            await self._send_answer(context, attempt, answer)
             return None
-        except _exchange.NotRunError as error:
-            return self._judge_not_run(job, target, exchange, error)
+        except _attempts.NotRunError as error:
+            return self._handle_not_run(context, target, attempt, error)
         except http.TargetError as error:
-            return self._judge_failure(job, target, exchange, error, summary)
+            return self._handle_failure(
+                context, target, attempt, error, summary
+            )
         except errors.FulmarseamError as error:
-            if exchange.progress is http.Progress.NOT_SENT:
+            if attempt.progress is http.Progress.NOT_SENT:
                 raise
             raise errors.FulmarseamError(
                 errors.ErrorKind.TARGET_FAILED,
                 f'the request body broke off: {error.detail}',
             ) from error
         finally:
-            exchange.close()
-            services.fleet.release(target)
+            attempt.close()
+            dependencies.load_balancer.release(target)
 
-    def _find_patience(
+    def _compute_first_byte_deadline(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         target: steering.ObservedTarget,
         now: float,
     ) -> float:
-        """Return until when an attempt may go without an answer."""
-        tried = len(job.attempted | {target.target})
-        if not job.route.idempotent or tried >= job.route.max_attempts:
-            return job.deadline
+        """Return when to give up on a target that has not answered yet."""
+        target_count = len(context.possibly_ran_on | {target.target})
+        if (
+            not context.route.idempotent
+            or target_count >= context.route.max_attempts
+        ):
+            return context.deadline
         return now + steering.compute_attempt_timeout(
-            target, job.deadline - now
+            target, context.deadline - now
         )
 
-    def _note_answer(
+    def _record_answer(
         self,
         target: steering.ObservedTarget,
-        exchange: _exchange.Exchange,
-        answer: _exchange.Answer,
-        started: float,
+        attempt: _attempts.Attempt,
+        answer: _attempts.Answer,
+        started_at: float,
     ) -> None:
         now = self._loop.time()
-        fleet = self._services.fleet
-        if exchange.load_report:
-            fleet.note_load(now, target, exchange.load_report)
+        load_balancer = self._dependencies.load_balancer
+        if attempt.load_report:
+            load_balancer.record_load_report(now, target, attempt.load_report)
         if answer.response.status >= 500:
-            fleet.note_failure(target)
+            load_balancer.record_failure(target)
         else:
-            fleet.note_answer(now, target, now - started)
+            load_balancer.record_answer(now, target, now - started_at)
 
-    def _may_replace(
+    def _may_retry_error_answer(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         target: steering.ObservedTarget,
-        answer: _exchange.Answer,
+        answer: _attempts.Answer,
     ) -> bool:
-        """Return whether a failure of a target is tried on another one."""
+        """Return whether to retry, on another target, after a status 500."""
         if answer.response.status != 500 or answer.body is None:
             return False
-        job.attempted.add(target.target)
-        return self._may_repeat(job, target)
+        context.possibly_ran_on.add(target.target)
+        return self._try_acquire_retry(context, target)
 
-    def _may_repeat(
-        self, job: _requests.Job, target: steering.ObservedTarget
+    def _try_acquire_retry(
+        self,
+        context: _requests.RequestContext,
+        target: steering.ObservedTarget,
     ) -> bool:
-        """Count a repeat of a request that may have run, if allowed."""
+        """Count a retry of a request that may have run, if allowed."""
         now = self._loop.time()
         return (
-            now < job.deadline
-            and job.route.idempotent
-            and job.is_replayable
-            and len(job.attempted) < job.route.max_attempts
-            and self._services.fleet.take_repeat(now, target.record.pool)
+            now < context.deadline
+            and context.route.idempotent
+            and context.is_replayable
+            and len(context.possibly_ran_on) < context.route.max_attempts
+            and self._dependencies.load_balancer.try_acquire_retry(
+                now, target.record.pool
+            )
         )
 
-    async def _pass_on(
+    async def _send_answer(
         self,
-        job: _requests.Job,
-        exchange: _exchange.Exchange,
-        answer: _exchange.Answer,
+        context: _requests.RequestContext,
+        attempt: _attempts.Attempt,
+        answer: _attempts.Answer,
     ) -> None:
-        """Pass the answer of a target to the caller."""
+        """Send the answer of a target to the caller."""
         response = answer.response
         dropped = http.HOP_BY_HOP
-        if answer.body is not None and job.request.method != b'HEAD':
+        if answer.body is not None and context.request.method != b'HEAD':
             dropped |= {b'content-length'}
         headers = http.drop_headers(response.headers, response.fields, dropped)
         if answer.body is not None:
-            if job.request.method != b'HEAD' and response.status not in (
+            if context.request.method != b'HEAD' and response.status not in (
                 204,
                 304,
             ):
                 length = b'%d' % len(answer.body)
                 headers.append((b'content-length', length))
-            job.caller.start_response(
+            context.caller.start_response(
                 response.status, headers, response.reason, are_checked=True
             )
             if answer.body:
-                job.caller.send_data(answer.body)
-            job.caller.end_response()
+                context.caller.send_data(answer.body)
+            context.caller.end_response()
             return
-        job.caller.start_response(
+        context.caller.start_response(
             response.status, headers, response.reason, are_checked=True
         )
         try:
-            await exchange.pass_body()
+            await attempt.stream_body()
         except http.TargetError as error:
             raise errors.FulmarseamError(
                 errors.ErrorKind.TARGET_FAILED, error.detail
             ) from error
 
-    def _judge_not_run(
+    def _handle_not_run(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         target: steering.ObservedTarget,
-        exchange: _exchange.Exchange,
-        error: _exchange.NotRunError,
-    ) -> _Failure:
-        """Decide what follows a target's word that it ran nothing."""
-        fleet = self._services.fleet
+        attempt: _attempts.Attempt,
+        error: _attempts.NotRunError,
+    ) -> _FailedAttempt:
+        """Record that a target did not run a request; decide on a retry."""
+        load_balancer = self._dependencies.load_balancer
         now = self._loop.time()
         if error.is_misdirected:
-            fleet.eject(now, target)
+            load_balancer.eject(now, target)
         else:
-            fleet.note_failure(target)
-        if exchange.load_report:
-            fleet.note_load(now, target, exchange.load_report)
+            load_balancer.record_failure(target)
+        if attempt.load_report:
+            load_balancer.record_load_report(now, target, attempt.load_report)
         pool_name = target.record.pool
-        return _Failure(
+        return _FailedAttempt(
             errors.FulmarseamError(errors.ErrorKind.TARGET_SHED, str(error)),
-            job.is_replayable and fleet.take_repeat(now, pool_name),
-            same_target=not error.is_misdirected
-            and fleet.fails_evenly(now, pool_name),
+            context.is_replayable
+            and load_balancer.try_acquire_retry(now, pool_name),
+            may_reuse_target=not error.is_misdirected
+            and load_balancer.is_pool_failing(now, pool_name),
         )
 
-    def _judge_failure(
+    def _handle_failure(
         self,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         target: steering.ObservedTarget,
-        exchange: _exchange.Exchange,
+        attempt: _attempts.Attempt,
         error: http.TargetError,
         summary: _summaries.RequestSummary,
-    ) -> _Failure:
-        """Decide what follows an attempt without a usable answer."""
-        if job.caller.response_started:
+    ) -> _FailedAttempt:
+        """Record an attempt without a usable answer; decide on a retry."""
+        if context.caller.response_started:
             raise errors.FulmarseamError(
                 errors.ErrorKind.TARGET_FAILED, error.detail
             ) from error
-        fleet = self._services.fleet
+        load_balancer = self._dependencies.load_balancer
         now = self._loop.time()
         summary.outcome = ''
-        is_late = now >= job.deadline
-        if exchange.progress is http.Progress.NOT_SENT:
-            fleet.eject(now, target)
+        is_late = now >= context.deadline
+        if attempt.progress is http.Progress.NOT_SENT:
+            load_balancer.eject(now, target)
             kind = errors.ErrorKind.NO_CAPACITY
-            return _Failure(
+            return _FailedAttempt(
                 errors.FulmarseamError(kind, error.detail), not is_late
             )
-        job.attempted.add(target.target)
+        context.possibly_ran_on.add(target.target)
         kind = errors.ErrorKind.TARGET_FAILED
-        was_idle = False
+        lost_idle_connection = False
         if error.reason is http.Reason.TIMED_OUT:
-            fleet.note_time_out(now, target)
+            load_balancer.record_timeout(now, target)
             kind = errors.ErrorKind.TARGET_TIMEOUT
-        elif error.reason is http.Reason.BROKEN and exchange.note_lost_idle():
-            was_idle = True
+        elif error.reason is http.Reason.BROKEN and attempt.record_lost_idle():
+            lost_idle_connection = True
         else:
-            fleet.eject(now, target)
-        return _Failure(
+            load_balancer.eject(now, target)
+        return _FailedAttempt(
             errors.FulmarseamError(kind, error.detail),
-            self._may_repeat(job, target),
-            same_target=was_idle,
+            self._try_acquire_retry(context, target),
+            may_reuse_target=lost_idle_connection,
         )
--- a/fulmarseam/gateway/_http_names.py
+++ b/fulmarseam/gateway/_http_names.py
@@ -1,18 +1,18 @@
-"""The header names that callers and targets use."""
+"""The names that callers and targets use in HTTP."""
 
 from typing import NamedTuple
 
 
 class HttpNames(NamedTuple):
-    """Names in lower case, as one deployment has them.
+    """Lower-case names of headers, a cookie and a path in one deployment.
 
-    `request_id` comes with each request and answer. `deadline` holds the
-    milliseconds that the caller waits. `expected_target` makes a target
-    with another id refuse the request, and `not_run` marks an answer of a
-    target that did not run it. `load` reports running and waiting requests
-    and slots, and `cold` the time that a target stays cold. `affinity` is
-    the cookie that names the object of a request. `readiness_path` is
-    where the platform asks whether the entry is ready.
+    The header `request_id` is sent with each request and answer. `deadline`
+    is the time in milliseconds that the caller waits. `expected_target` is
+    the id of the intended target; any other target refuses the request.
+    `not_run` marks an answer of a target that did not run the request.
+    `load` reports running requests, waiting requests and slots. `affinity`
+    is the cookie that names the object of a request, and `readiness_path`
+    the path of the platform's readiness checks.
     """
 
     request_id: bytes = b'fulmarseam-request-id'
--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_load_balancer.py
@@ -1,4 +1,4 @@
-"""The targets of an entry and the placement of requests on them."""
+"""Load balancing of requests over the targets that an entry observes."""
 
 from collections.abc import Collection
 import zlib
@@ -12,25 +12,25 @@
 from fulmarseam import telemetry
 from fulmarseam import wire
 
-# A target that can be reached again may have restarted. What it announces
-# about that arrives within one heartbeat of 1.5 s and a poll.
+# A target that is reachable again may have restarted, so it counts as cold
+# until its announcement can arrive, within a heartbeat of 1.5 s and a poll.
 RECOVERY_COLD_S = 2.0
-# Part of the retry bound that is used: requests and repeats of one window
-# arrive at the targets in another one after a delay.
-REPEAT_SHARE_USED = 0.8
-# Targets that share the requests for one object. With more of them an
-# overload spreads each object over all targets, which then keep none of
-# them and stay slow: the overload feeds itself.
-CHOICES_PER_OBJECT = 2
-# Load per slot that a target in the own region may have above that of one
-# in another region before a request for no known object goes there.
-REMOTE_COST = 0.4
-# Steps between 0 and 1 of the phase of an entry.
-PHASES = 1_000
-# The failure rate of a pool is taken anew after this time.
-RATE_INTERVAL_S = 0.2
-# Rankings kept; the least of what the busiest deployments have is some
-# hundred objects for each route.
+# Fraction of the retry bound that is used. Requests and retries of one time
+# window may reach the targets in a different one because of delays.
+RETRY_SHARE_USED = 0.8
+# Targets that share the requests for one object. With more, an overload would
+# spread each object over all targets; these would then keep no object cached,
+# stay slow and prolong the overload.
+TARGETS_PER_OBJECT = 2
+# Load per slot that is added for targets in other regions when targets are
+# ranked for a request without affinity.
+REMOTE_LOAD_PENALTY = 0.4
+# Number of different token offsets between 0 and 1.
+TOKEN_OFFSET_STEPS = 1_000
+# The failure rate of a pool is computed again after this time.
+FAILURE_RATE_INTERVAL_S = 0.2
+# Cached rankings of targets, one per object. The busiest deployments have at
+# least some hundred objects per route.
 MAX_RANKINGS = 20_000
 
 _log = logbook.Logger('gateway')
@@ -39,27 +39,27 @@
 class _Pool:
     """The targets of one pool that may get new requests."""
 
-    def __init__(self, budget: steering.WindowedRetryBudget) -> None:
-        self.budget = budget
+    def __init__(self, retry_budget: steering.WindowedRetryBudget) -> None:
+        self.retry_budget = retry_budget
         self.targets: list[steering.ObservedTarget] = []
         self._failure_rate = 0.0
-        self._rated_at = float('-inf')
+        self._failure_rate_at = float('-inf')
 
-    def find_failure_rate(self, now: float) -> float:
+    def get_failure_rate(self, now: float) -> float:
         """Return the mean failure rate of the targets."""
-        if now - self._rated_at >= RATE_INTERVAL_S:
-            self._rated_at = now
+        if now - self._failure_rate_at >= FAILURE_RATE_INTERVAL_S:
+            self._failure_rate_at = now
             self._failure_rate = steering.compute_mean_failure_rate(
                 self.targets
             )
         return self._failure_rate
 
 
-class Fleet:
-    """All targets of the catalog as this entry observes them.
+class LoadBalancer:
+    """Observes all targets of the catalog and places requests on them.
 
-    Times are in seconds of a monotonic clock. Every placement that `place`
-    returns ends with `release`.
+    Times are in seconds of a monotonic clock. Every target that `place`
+    returns must be given back with `release`.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
     ) -> None:
         self._options = options
         self._mirror = mirror
-        self._cold_bound = steering.ColdRateLimit(
+        self._cold_rate_limit = steering.ColdRateLimit(
             options.cold_factor, options.cold_slack
         )
         self._targets: dict[ids.TargetId, steering.ObservedTarget] = {}
@@ -78,22 +78,22 @@
         self._evacuated: frozenset[ids.DomainName] = frozenset()
         self.senders = 1
 
-    # Catalog
+    # Catalog updates
 
     def update(self, now: float) -> None:
-        """Take over the targets of the mirror."""
+        """Apply the targets and evacuations of the mirror."""
         self._rankings.clear()
-        known = self._mirror.targets
-        for target in self._targets.keys() - known.keys():
+        records = self._mirror.targets
+        for target in self._targets.keys() - records.keys():
             del self._targets[target]
-        for target, record in known.items():
+        for target, record in records.items():
             self._update_target(now, target, record)
-        ended = self._evacuated - self._mirror.evacuated
+        restored_domains = self._evacuated - self._mirror.evacuated
         self._evacuated = self._mirror.evacuated
         for observed in self._targets.values():
-            if observed.record.failure_domain in ended:
-                # The targets may have lost their caches meanwhile.
-                steering.mark_cold(observed, now, self._cold_s(observed))
+            if observed.record.failure_domain in restored_domains:
+                # The targets may have lost their caches in the meantime.
+                steering.mark_cold(observed, now, self._get_cold_s(observed))
         self._group_targets()
 
     def _update_target(
@@ -102,15 +102,15 @@
         observed = self._targets.get(target)
         if observed is not None and observed.record == record:
             return
-        is_new = observed is None or (
+        is_new_instance = observed is None or (
             observed.record.born_ms != record.born_ms
             or observed.record.address != record.address
         )
-        if observed is None or is_new:
+        if observed is None or is_new_instance:
             observed = steering.ObservedTarget(
                 record,
                 record.region != self._options.region,
-                token_offset=self._find_phase(target),
+                token_offset=self._compute_token_offset(target),
                 tokens_at=now,
                 in_flight=observed.in_flight if observed else 0,
             )
@@ -119,11 +119,11 @@
         if record.cold_ms > 0.0:
             steering.mark_cold(observed, now, record.cold_ms / 1_000)
 
-    def _find_phase(self, target: ids.TargetId) -> float:
+    def _compute_token_offset(self, target: ids.TargetId) -> float:
         name = f'{self._options.host} {target}'.encode()
-        return (zlib.crc32(name) % PHASES) / PHASES
+        return (zlib.crc32(name) % TOKEN_OFFSET_STEPS) / TOKEN_OFFSET_STEPS
 
-    def _cold_s(self, observed: steering.ObservedTarget) -> float:
+    def _get_cold_s(self, observed: steering.ObservedTarget) -> float:
         pool = self._mirror.pools.get(observed.record.pool)
         return pool.cold_s if pool is not None else 0.0
 
@@ -136,16 +136,16 @@
                 continue
             if record.failure_domain in self._evacuated:
                 continue
-            self._get_pool(record.pool).targets.append(observed)
+            self._get_or_create_pool(record.pool).targets.append(observed)
 
-    def _get_pool(self, name: ids.PoolName) -> _Pool:
+    def _get_or_create_pool(self, name: ids.PoolName) -> _Pool:
         pool = self._pools.get(name)
         if pool is None:
             options = self._options
             pool = self._pools[name] = _Pool(
                 steering.WindowedRetryBudget(
-                    options.retry_ratio * REPEAT_SHARE_USED,
-                    self._find_slack(),
+                    options.retry_ratio * RETRY_SHARE_USED,
+                    self._compute_slack(),
                     options.retry_window,
                 )
             )
@@ -155,111 +155,130 @@
         """Return the number of targets that may get requests."""
         return sum(len(pool.targets) for pool in self._pools.values())
 
-    def describe_pool(self, now: float, pool_name: ids.PoolName) -> str:
-        """Return what a refusal for lack of room was decided by."""
-        targets = self._get_pool(pool_name).targets
-        ejected = sum(steering.is_ejected(item, now) for item in targets)
-        cold = sum(steering.is_cold(item, now) for item in targets)
+    def describe_load(self, now: float, pool_name: ids.PoolName) -> str:
+        """Return the load of a pool for the details of a refusal."""
+        targets = self._get_or_create_pool(pool_name).targets
+        ejected_count = sum(steering.is_ejected(item, now) for item in targets)
+        cold_count = sum(steering.is_cold(item, now) for item in targets)
         load = sum(steering.estimate_load(item, now) for item in targets)
         slots = sum(item.record.slots for item in targets)
         return (
-            f'targets {len(targets)}, ejected {ejected}, cold {cold}, '
+            f'targets {len(targets)}, ejected {ejected_count}, '
+            f'cold {cold_count}, '
             f'estimated load {load:.1f} of {slots} slots'
         )
 
     def count_in_flight(self) -> int:
-        """Return the number of requests on targets."""
+        """Return the number of requests in flight on all targets."""
         return sum(item.in_flight for item in self._targets.values())
 
     def set_senders(self, senders: int) -> None:
-        """Take over the number of entries that share the bounds."""
+        """Set the number of entries that share the bounds."""
         self.senders = senders
         for pool in self._pools.values():
-            pool.budget.slack = self._find_slack()
+            pool.retry_budget.slack = self._compute_slack()
 
-    def _find_slack(self) -> float:
-        """Return this entry's part of the repeats that are always allowed."""
-        return self._options.retry_slack * REPEAT_SHARE_USED / self.senders
+    def _compute_slack(self) -> float:
+        """Return this entry's part of the retry slack."""
+        return self._options.retry_slack * RETRY_SHARE_USED / self.senders
 
-    # Placement
+    # Placement of requests
 
     def count_request(self, now: float, pool_name: ids.PoolName) -> None:
         """Count a request of a caller for a pool."""
-        self._get_pool(pool_name).budget.count_request(now)
+        self._get_or_create_pool(pool_name).retry_budget.count_request(now)
 
-    def take_repeat(self, now: float, pool_name: ids.PoolName) -> bool:
-        """Count a repeat if the budget of the pool allows it."""
-        return self._get_pool(pool_name).budget.try_acquire(now)
+    def try_acquire_retry(self, now: float, pool_name: ids.PoolName) -> bool:
+        """Count a retry if the budget of the pool allows it."""
+        return self._get_or_create_pool(pool_name).retry_budget.try_acquire(
+            now
+        )
 
     def place(
         self,
         now: float,
         route: wire.RouteItem,
         pool_name: ids.PoolName,
-        key: str | None,
+        affinity_key: str | None,
         avoided: Collection[ids.TargetId],
         time_left_s: float,
     ) -> steering.Placement:
-        """Take a place on a target, or none when no target has room."""
-        share = self._find_cold_share(pool_name)
-        placed = steering.place_request(
+        """Choose a target and count the request there, if one has room.
+
+        `affinity_key` names the object of the request, if known. Targets in
+        `avoided` are not chosen.
+        """
+        cold_rate = self._compute_cold_rate(pool_name)
+        placement = steering.place_request(
             now,
             (
                 item
-                for item in self._rank(now, route, pool_name, key)
+                for item in self._rank_targets(
+                    now, route, pool_name, affinity_key
+                )
                 if item.target not in avoided
             ),
-            lambda item: steering.may_send(item, now, share),
+            lambda item: steering.may_send(item, now, cold_rate),
             route.priority,
             time_left_s,
-            CHOICES_PER_OBJECT if route.sticky and key is not None else None,
-            self._get_pool(pool_name).find_failure_rate(now),
+            TARGETS_PER_OBJECT
+            if route.sticky and affinity_key is not None
+            else None,
+            self._get_or_create_pool(pool_name).get_failure_rate(now),
         )
-        if placed.target is not None:
-            steering.note_start(placed.target, now)
-            if steering.is_cold(placed.target, now):
-                placed.target.tokens -= 1.0
-        return placed
+        if placement.target is not None:
+            steering.note_start(placement.target, now)
+            if steering.is_cold(placement.target, now):
+                placement.target.tokens -= 1.0
+        return placement
 
-    def _find_cold_share(self, pool_name: ids.PoolName) -> float:
+    def _compute_cold_rate(self, pool_name: ids.PoolName) -> float:
         pool = self._mirror.pools.get(pool_name)
         if pool is None or pool.cold_per_s <= 0.0:
             return float('inf')
-        return self._cold_bound.compute_sender_rate(
+        return self._cold_rate_limit.compute_sender_rate(
             pool.cold_per_s, self.senders
         )
 
-    def _rank(
+    def _rank_targets(
         self,
         now: float,
         route: wire.RouteItem,
         pool_name: ids.PoolName,
-        key: str | None,
+        affinity_key: str | None,
     ) -> list[steering.ObservedTarget]:
         """Return the targets for a request in the order of preference.
 
         All entries of a region prefer the same targets for an object.
         """
         targets = _keep_allowed(
-            self._get_pool(pool_name).targets, route.allowed_regions
+            self._get_or_create_pool(pool_name).targets, route.allowed_regions
         )
-        if key is None or not route.sticky:
-            return sorted(targets, key=lambda item: _rate_load(now, item))
-        name = (pool_name, ','.join(route.allowed_regions), key)
-        ranking = self._rankings.get(name)
+        if affinity_key is None or not route.sticky:
+            return sorted(
+                targets, key=lambda item: _compute_load_cost(now, item)
+            )
+        ranking_key = (
+            pool_name,
+            ','.join(route.allowed_regions),
+            affinity_key,
+        )
+        ranking = self._rankings.get(ranking_key)
         if ranking is None:
             if len(self._rankings) >= MAX_RANKINGS:
                 self._rankings.clear()
-            ranking = self._rankings[name] = [
+            ranking = self._rankings[ranking_key] = [
                 self._targets[target]
-                for target in steering.rank_targets(key, self._weigh(targets))
+                for target in steering.rank_targets(
+                    affinity_key, self._compute_weights(targets)
+                )
             ]
         return ranking
 
-    def _weigh(
+    def _compute_weights(
         self, targets: list[steering.ObservedTarget]
     ) -> dict[ids.TargetId, float]:
-        """Return the part of the objects that each target is to serve."""
+        """Return the share of the objects that each target should serve."""
         slots: dict[ids.RegionName, int] = {}
         for item in targets:
             region = item.record.region
@@ -276,15 +295,15 @@
         }
 
     def release(self, observed: steering.ObservedTarget) -> None:
-        """End a placement."""
+        """Count the end of a request that `place` put on a target."""
         steering.note_end(observed)
 
-    # Outcomes
+    # Outcomes of attempts
 
-    def note_load(
+    def record_load_report(
         self, now: float, observed: steering.ObservedTarget, report: bytes
     ) -> None:
-        """Take the load report of an answer: running, waiting and slots."""
+        """Record a load report of the form `running,waiting,slots`."""
         try:
             running, waiting, _ = (int(part) for part in report.split(b','))
         except ValueError:
@@ -298,39 +317,39 @@
             return
         steering.note_report(observed, now, running, waiting)
 
-    def note_answer(
+    def record_answer(
         self, now: float, observed: steering.ObservedTarget, service_s: float
     ) -> None:
-        """Count a full answer of a target."""
-        cold_s = min(self._cold_s(observed), RECOVERY_COLD_S)
+        """Record an answer that a target returned after `service_s`."""
+        cold_s = min(self._get_cold_s(observed), RECOVERY_COLD_S)
         steering.note_answer(observed, now, service_s, cold_s)
 
-    def note_failure(self, observed: steering.ObservedTarget) -> None:
-        """Count a request that a target failed."""
+    def record_failure(self, observed: steering.ObservedTarget) -> None:
+        """Record a request that a target refused or failed."""
         steering.note_failure(observed)
 
-    def fails_evenly(self, now: float, pool_name: ids.PoolName) -> bool:
+    def is_pool_failing(self, now: float, pool_name: ids.PoolName) -> bool:
         """Return whether a whole pool refuses or fails many requests."""
-        rate = self._get_pool(pool_name).find_failure_rate(now)
+        rate = self._get_or_create_pool(pool_name).get_failure_rate(now)
         return rate >= steering.DOUBTFUL_FAILURE_RATE
 
     def _is_cut_off(self, now: float, pool_name: ids.PoolName) -> bool:
-        """Return whether most targets of a pool cannot be reached."""
-        targets = self._get_pool(pool_name).targets
-        ejected = sum(steering.is_ejected(item, now) for item in targets)
-        return 2 * ejected > len(targets)
+        """Return whether most targets of a pool are ejected."""
+        targets = self._get_or_create_pool(pool_name).targets
+        ejected_count = sum(steering.is_ejected(item, now) for item in targets)
+        return 2 * ejected_count > len(targets)
 
-    def note_time_out(
+    def record_timeout(
         self, now: float, observed: steering.ObservedTarget
     ) -> None:
-        """Count a request that got no answer in time."""
+        """Record a request that got no answer in time."""
         if steering.is_silent(observed, now):
             self.eject(now, observed)
         else:
             steering.note_failure(observed)
 
     def eject(self, now: float, observed: steering.ObservedTarget) -> None:
-        """Keep away from a target that is silent or unreachable."""
+        """Send no requests to an unreachable or silent target for a while."""
         steering.eject(observed, now)
         if self._is_cut_off(now, observed.record.pool):
             # The entry has lost its own links, so the targets stay warm.
@@ -354,7 +373,7 @@
     return [item for item in targets if item.record.region in regions]
 
 
-def _rate_load(now: float, item: steering.ObservedTarget) -> float:
-    """Return the load of a target per slot, with the cost of the way."""
+def _compute_load_cost(now: float, item: steering.ObservedTarget) -> float:
+    """Return the load of a target per slot, with any remote penalty."""
     load = steering.estimate_load(item, now) / item.record.slots
-    return load + REMOTE_COST if item.is_remote else load
+    return load + REMOTE_LOAD_PENALTY if item.is_remote else load
--- a/fulmarseam/gateway/_poller.py
+++ b/fulmarseam/gateway/_poller.py
@@ -1,4 +1,4 @@
-"""Polls of the control members, which keep the mirror up to date."""
+"""Polling of the control members, which keeps the mirror up to date."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,29 +15,30 @@
 from fulmarseam import transport
 from fulmarseam import wire
 
-# A change is in force after one interval and the way to the entry, far
-# within the 2 s that the operators' bounds allow.
+# A change is in force after one interval and the network delay, well within
+# the 2 s that operators allow.
 POLL_INTERVAL_S = 0.4
-# Without a configuration no request can be served, so it is asked for more
-# often: after a start of all hosts it appears when a leader is elected.
+# Without a configuration no request can be served, so members are polled more
+# often until there is one. After a start of all hosts it is available once a
+# leader is elected.
 FIRST_POLL_INTERVAL_S = 0.1
 POLL_TIMEOUT_S = 0.8
-# An answer with changes has up to 25 KB and shares a link of 300 KB/s.
+# An answer with changes is up to 25 KB long and shares a link of 300 KB/s.
 FETCH_TIMEOUT_S = 3.0
-# A member that no other one has listed for this long is polled no more,
-# unless it is a seed.
-FORGET_MEMBER_S = 30.0
+# A member that no answer has listed for this long is no longer polled, unless
+# it is a seed.
+MEMBER_RETENTION_S = 30.0
 
 _log = logbook.Logger('gateway')
 
 
 class Poller:
-    """Polls every control member by itself; a context manager.
+    """Polls every control member independently; a context manager.
 
-    A member that is slow or cut off holds up none of the others, and the
-    newest revision of any of them counts, since they hand out only what
-    was agreed on. `on_change` is called after each
-    change of the mirror.
+    A member that is slow or cut off does not delay the others. The newest
+    revision of any member is applied, since members only send what the
+    group has committed. `on_change` is called after each change of the
+    mirror.
     """
 
     def __init__(
@@ -51,13 +52,13 @@
         self._on_change = on_change
         self._clients = transport.RpcClients()
         self._seeds = options.list_peers()
-        self._listed: dict[str, float] = {}
+        self._listed_at: dict[str, float] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._reached: set[str] = set()
+        self._reachable: set[str] = set()
         self._wake = asyncio.Event()
         self._incarnation = time.time_ns() // 1_000_000
         self.is_draining = False
-        self._fetching = False
+        self._is_fetching = False
         self.senders = 1
 
     async def __aenter__(self) -> Self:
@@ -72,12 +73,12 @@
         await self._clients.__aexit__(*exc_info)
 
     def update_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Poll the members at other seeds as well."""
+        """Use other seeds, and poll the members there as well."""
         self._seeds = seeds
-        self._follow(list(seeds))
+        self._update_members(list(seeds))
 
-    def find_state(self) -> wire.EntryState:
-        """Return whether the entry may be named to new callers."""
+    def get_state(self) -> wire.EntryState:
+        """Return the state that tells whether look-ups may list the entry."""
         if self.is_draining:
             return wire.EntryState.DRAINING
         if not self._mirror.is_complete:
@@ -85,24 +86,24 @@
         return wire.EntryState.READY
 
     def poll_now(self) -> None:
-        """Tell all members at once that the state has changed."""
+        """Poll all members at once, to tell them a changed state."""
         self._wake.set()
         self._wake = asyncio.Event()
 
-    def _follow(self, addresses: list[str]) -> None:
-        """Poll these members, and no more those that left the group."""
+    def _update_members(self, addresses: list[str]) -> None:
+        """Poll these members; stop polling those no longer in the group."""
         now = time.monotonic()
         for address in addresses:
-            self._listed[address] = now
-        for address in (*self._seeds, *self._listed):
+            self._listed_at[address] = now
+        for address in (*self._seeds, *self._listed_at):
             if address not in self._tasks:
                 self._tasks[address] = asyncio.create_task(
                     self._poll_member(address)
                 )
-        for address, listed_at in list(self._listed.items()):
-            is_old = now - listed_at > FORGET_MEMBER_S
-            if is_old and address not in self._seeds:
-                del self._listed[address]
+        for address, listed_at in list(self._listed_at.items()):
+            is_expired = now - listed_at > MEMBER_RETENTION_S
+            if is_expired and address not in self._seeds:
+                del self._listed_at[address]
                 self._tasks.pop(address).cancel()
         self._clients.keep(set(self._tasks))
 
@@ -112,7 +113,7 @@
             try:
                 await self._poll(address)
             except errors.FulmarseamError as error:
-                self._note_reached(address, error.detail)
+                self._record_reachability(address, error.detail)
             interval_s = (
                 POLL_INTERVAL_S
                 if self._mirror.is_complete
@@ -125,23 +126,25 @@
                 continue
 
     async def _poll(self, address: str) -> None:
-        """Present this entry to a member and fetch what it has newer.
+        """Report this entry to a member and fetch its newer changes.
 
-        One fetch runs at a time, because the link of an entry is thin.
+        Only one fetch runs at a time, because an entry's link is slow.
         """
-        answer = await self._call(address, False, POLL_TIMEOUT_S)
-        while answer.revision > self._mirror.revision and not self._fetching:
-            self._fetching = True
+        answer = await self._send_poll(address, False, POLL_TIMEOUT_S)
+        while (
+            answer.revision > self._mirror.revision and not self._is_fetching
+        ):
+            self._is_fetching = True
             try:
-                answer = await self._fetch(address)
+                answer = await self._fetch_changes(address)
             finally:
-                self._fetching = False
+                self._is_fetching = False
 
-    async def _fetch(self, address: str) -> wire.EntryPollResponse:
-        """Take over the next changes that a member lists."""
+    async def _fetch_changes(self, address: str) -> wire.EntryPollResponse:
+        """Fetch and apply the next changes from a member."""
         revision = self._mirror.revision
         was_complete = self._mirror.is_complete
-        answer = await self._call(address, True, FETCH_TIMEOUT_S)
+        answer = await self._send_poll(address, True, FETCH_TIMEOUT_S)
         changes = answer.changes
         if changes is not None and self._mirror.apply(revision, changes):
             _log.info(
@@ -157,14 +160,14 @@
             )
             self._on_change()
         if self._mirror.is_complete and not was_complete:
-            # The members may name this entry from now on.
+            # Look-ups may list this entry from now on.
             self.poll_now()
         return answer
 
-    async def _call(
+    async def _send_poll(
         self, address: str, wants_changes: bool, timeout_s: float
     ) -> wire.EntryPollResponse:
-        """Poll a member; raises `errors.FulmarseamError`."""
+        """Send a poll; raises `errors.FulmarseamError` if it fails."""
         options = self._options
         answer = await self._clients.call(
             address,
@@ -174,7 +177,7 @@
                 region=options.region,
                 failure_domain=options.failure_domain,
                 incarnation=self._incarnation,
-                state=self.find_state(),
+                state=self.get_state(),
                 wants_changes=wants_changes,
                 revision=self._mirror.revision,
                 removals_revision=self._mirror.removals_revision,
@@ -186,24 +189,24 @@
                 errors.ErrorKind.UNAVAILABLE,
                 getattr(answer, 'detail', type(answer).__name__),
             )
-        self._note_reached(address, None)
+        self._record_reachability(address, None)
         self.senders = max(1, answer.entry_count)
         if answer.members:
-            self._follow(answer.members)
+            self._update_members(answer.members)
         return answer
 
-    def _note_reached(self, address: str, problem: str | None) -> None:
-        """Log when a member stops or starts to answer."""
-        is_reached = problem is None
-        if is_reached == (address in self._reached):
+    def _record_reachability(self, address: str, problem: str | None) -> None:
+        """Log when a member becomes reachable or unreachable."""
+        is_reachable = problem is None
+        if is_reachable == (address in self._reachable):
             return
-        if is_reached:
-            self._reached.add(address)
+        if is_reachable:
+            self._reachable.add(address)
             _log.info(
                 telemetry.format_event('member_reachable', address=address)
             )
             return
-        self._reached.discard(address)
+        self._reachable.discard(address)
         _log.warning(
             telemetry.format_event(
                 'member_unreachable', address=address, reason=problem
--- a/fulmarseam/gateway/_requests.py
+++ b/fulmarseam/gateway/_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through a gateway."""
+"""The state of a caller's request in a gateway."""
 
 from fulmarseam import errors
 from fulmarseam import http
@@ -6,28 +6,28 @@
 from fulmarseam import wire
 from fulmarseam.gateway import _http_names
 
-# A body up to this size is read before the request is sent, so that it can
-# be sent again.
-HELD_BODY_BYTES = 256 * 1024
+# A body up to this size is buffered before the request is sent, so that the
+# request can be retried.
+MAX_BUFFERED_BODY_BYTES = 256 * 1024
 MAX_DEADLINE_DIGITS = 9
 
 
-class Job:
-    """One request: its route, its deadline and the body held of it.
+class RequestContext:
+    """One request: its route, its deadline and its buffered body.
 
     `deadline` is in seconds of the event loop's clock. `request_path` is
-    what the target gets, byte for byte as the caller sent it.
+    sent to the target byte for byte as the caller sent it.
     """
 
     __slots__ = (
         'arrived_at',
-        'attempted',
+        'possibly_ran_on',
         'caller',
         'deadline',
         'host',
         'is_replayable',
-        'kept',
-        'kept_bytes',
+        'body_chunks',
+        'buffered_bytes',
         'path',
         'request',
         'request_id',
@@ -50,31 +50,34 @@
         self.request_path = self.path.encode('latin-1')
         self.request_id = request.fields.get(http_names.request_id)
         self.route: wire.RouteItem
-        # Targets that may have run it; a route bounds their number.
-        self.attempted: set[ids.TargetId] = set()
-        self.kept: list[bytes] = []
-        self.kept_bytes = 0
+        # Targets that may have run the request; a route bounds their number.
+        self.possibly_ran_on: set[ids.TargetId] = set()
+        self.body_chunks: list[bytes] = []
+        self.buffered_bytes = 0
         self.is_replayable = True
 
     @property
     def signal(self) -> http.Signal:
-        """Return what wakes the task for either side."""
+        """Return the signal that events of caller and target set."""
         assert self.caller.signal is not None
         return self.caller.signal
 
-    async def hold_body(self) -> None:
-        """Read the body, or the first part of a large one.
+    async def buffer_body(self) -> None:
+        """Buffer the body, or the first part of a large one.
 
-        Raises `http.CallerGoneError` and `errors.FulmarseamError` like
-        `poll_body`.
+        Raises `http.CallerGoneError` if the caller has left, and the errors
+        of `http.CallerConnection.poll_body`.
         """
         caller = self.caller
-        while not caller.body_done and self.kept_bytes < HELD_BODY_BYTES:
-            piece = caller.poll_body()
-            if piece:
-                self.kept.append(piece)
-                self.kept_bytes += len(piece)
-            elif piece is None:
+        while (
+            not caller.body_done
+            and self.buffered_bytes < MAX_BUFFERED_BODY_BYTES
+        ):
+            chunk = caller.poll_body()
+            if chunk:
+                self.body_chunks.append(chunk)
+                self.buffered_bytes += len(chunk)
+            elif chunk is None:
                 caller.start_body_timeout()
                 await self.signal.wait()
                 if caller.gone:
@@ -85,9 +88,9 @@
 def read_deadline_ms(
     request: http.Request, http_names: _http_names.HttpNames
 ) -> int | None:
-    """Return the time that the caller waits, in milliseconds, if stated.
+    """Return the milliseconds that the caller waits, or None if not stated.
 
-    Raises `errors.FulmarseamError` when the header is malformed.
+    Raises `errors.FulmarseamError` if the header is malformed.
     """
     value = request.fields.get(http_names.deadline)
     if value is None:
@@ -104,11 +107,11 @@
 def read_affinity(
     request: http.Request, http_names: _http_names.HttpNames
 ) -> str | None:
-    """Return the name of the object that a request concerns, if stated."""
-    cookies = request.fields.get(b'cookie')
-    if cookies is None:
+    """Return the affinity key, which names the object of a request, if any."""
+    cookie_header = request.fields.get(b'cookie')
+    if cookie_header is None:
         return None
-    for cookie in cookies.split(b';'):
+    for cookie in cookie_header.split(b';'):
         name, _, value = cookie.strip().partition(b'=')
         if name.lower() == http_names.affinity:
             return value.decode('latin-1')
--- a/fulmarseam/gateway/_routes.py
+++ b/fulmarseam/gateway/_routes.py
@@ -1,4 +1,4 @@
-"""The routes in force, found by host and path."""
+"""The table of the routes in force."""
 
 from collections.abc import Iterable
 
@@ -6,38 +6,40 @@
 from fulmarseam import wire
 
 
-class RouteBook:
+class RouteTable:
     """Routes by host and path prefix."""
 
     def __init__(self) -> None:
-        self._hosts: dict[str, dict[str, wire.RouteItem]] = {}
+        self._routes_by_host: dict[str, dict[str, wire.RouteItem]] = {}
 
     def update(self, routes: Iterable[wire.RouteItem]) -> None:
         """Replace all routes.
 
-        Of two routes for the same requests the one with the higher version
-        counts, by name when they are equal.
+        If two routes match the same requests, the one with the higher
+        version is used, or with the later name if the versions are equal.
         """
-        hosts: dict[str, dict[str, wire.RouteItem]] = {}
+        routes_by_host: dict[str, dict[str, wire.RouteItem]] = {}
         for route in sorted(
             routes, key=lambda item: (item.version, item.name)
         ):
-            prefixes = hosts.setdefault(route.host.lower(), {})
-            prefixes[route.path_prefix] = route
-        self._hosts = hosts
+            routes_by_prefix = routes_by_host.setdefault(
+                route.host.lower(), {}
+            )
+            routes_by_prefix[route.path_prefix] = route
+        self._routes_by_host = routes_by_host
 
     def match(self, host: str, path: str) -> wire.RouteItem:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest path prefix that matches.
 
         Raises `errors.FulmarseamError` with `NO_ROUTE`.
         """
         name = host.partition(':')[0].lower()
         plain_path = path.partition('?')[0]
-        prefixes = self._hosts.get(name)
-        if prefixes is not None:
+        routes_by_prefix = self._routes_by_host.get(name)
+        if routes_by_prefix is not None:
             end = len(plain_path)
             while (end := plain_path.rfind('/', 0, end)) >= 0:
-                route = prefixes.get(plain_path[: end + 1])
+                route = routes_by_prefix.get(plain_path[: end + 1])
                 if route is not None:
                     return route
         raise errors.FulmarseamError(
--- a/fulmarseam/gateway/_summaries.py
+++ b/fulmarseam/gateway/_summaries.py
@@ -1,4 +1,4 @@
-"""The way of a request through a gateway, as its log line tells it."""
+"""The summary of a request for its log line."""
 
 from fulmarseam import errors
 from fulmarseam import telemetry
@@ -8,15 +8,16 @@
 
 
 class RequestSummary:
-    """What decided about one request and how it ended.
+    """Where one request was sent and how it ended.
 
-    `targets` names the targets in the order of the attempts, each with the
-    kind of its failure. `outcome` is `answered` or the kind of the error.
+    `targets` lists the targets in the order of the attempts, each failed
+    one with its kind of error. `outcome` is `answered` or the kind of the
+    final error.
     """
 
     __slots__ = (
         'detail',
-        'key',
+        'affinity_key',
         'outcome',
         'pool',
         'route',
@@ -27,7 +28,7 @@
     def __init__(self) -> None:
         self.route = ''
         self.pool = ''
-        self.key = ''
+        self.affinity_key = ''
         self.outcome = ''
         self.detail = ''
         self.status = 0
@@ -36,22 +37,22 @@
     def write(
         self,
         log: telemetry.RequestLog,
-        job: _requests.Job,
+        context: _requests.RequestContext,
         now: float,
         revision: int,
     ) -> None:
-        """Write the line; `revision` is that of the catalog in force."""
+        """Write the log line; `revision` is that of the catalog in force."""
         log.add(
             self.outcome == ANSWERED,
-            id=(job.request_id or b'').decode('latin-1'),
+            id=(context.request_id or b'').decode('latin-1'),
             outcome=self.outcome,
             route=self.route,
             pool=self.pool,
-            object=self.key,
+            object=self.affinity_key,
             targets=','.join(self.targets),
             status=self.status,
-            elapsed_s=now - job.arrived_at,
-            time_left_s=job.deadline - now,
+            elapsed_s=now - context.arrived_at,
+            time_left_s=context.deadline - now,
             revision=revision,
             detail=self.detail,
         )
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway against scripted targets on loopback."""
+"""Tests of a gateway with scripted targets on loopback."""
 
 import asyncio
 import time
@@ -21,17 +21,17 @@
 
 
 async def crash(reader, writer, headers):
-    """Close the connection while the request runs."""
+    """Close the connection while running the request."""
     writer.transport.abort()
 
 
 async def fail(reader, writer, headers):
-    """Run the request and fail."""
+    """Run the request and answer 500."""
     await answer(writer, headers, 500, b'oops')
 
 
 class ForwardingTest(gateway_case.GatewayCase):
-    """Guards the request and the answer against any change on the way."""
+    """Guards against requests and answers that are changed or misrouted."""
 
     async def test_a_request_reaches_its_target_unchanged(self) -> None:
         target = await self.add_target('t1', serve)
@@ -55,13 +55,15 @@
         self.assertNotIn('x-mine', headers)
         self.assertLessEqual(int(headers['fulmarseam-deadline-ms']), 800)
 
-    async def test_requests_before_any_configuration_are_not_run(self) -> None:
+    async def test_requests_before_the_first_configuration_are_refused(
+        self,
+    ) -> None:
         reply = await self.call()
         self.assertEqual(reply.status, 503)
         self.assertIn('retry-after', reply.headers)
 
     async def test_targets_without_routes_are_no_configuration(self) -> None:
-        """Guards against a 404 where nobody knows the routes yet."""
+        """Guards against a 404 while the routes are not known yet."""
         await self.add_target('t1', serve)
         await self.wait_for_catalog()
         self.assertEqual((await self.call()).status, 503)
@@ -70,7 +72,7 @@
         self.assertEqual((await self.call()).status, 200)
         self.assertTrue(self.gateway.is_ready())
 
-    async def test_a_path_without_route_is_unknown(self) -> None:
+    async def test_a_path_without_route_is_answered_404(self) -> None:
         await self.put_route()
         self.assertEqual((await self.call('/ab')).status, 404)
         self.assertEqual((await self.call('/a')).status, 404)
@@ -122,10 +124,10 @@
         self.assertEqual((await self.call()).body, body)
 
 
-class RepeatTest(gateway_case.GatewayCase):
-    """Guards against requests that run twice or are refused untruly."""
+class RetryTest(gateway_case.GatewayCase):
+    """Guards against requests that run twice or are refused needlessly."""
 
-    async def test_what_a_target_did_not_run_goes_to_another(self) -> None:
+    async def test_a_request_that_was_not_run_is_retried(self) -> None:
         await self.add_target('t1', shed)
         await self.add_target('t2', shed)
         await self.add_target('t3', serve)
@@ -133,7 +135,7 @@
         for _ in range(3):
             self.assertEqual((await self.call(method='POST')).status, 200)
 
-    async def test_what_no_target_ran_is_refused_with_a_time_to_come_back(
+    async def test_a_request_that_no_target_ran_is_refused_with_retry_after(
         self,
     ) -> None:
         await self.add_target('t1', shed)
@@ -142,7 +144,7 @@
         self.assertEqual(reply.status, 503)
         self.assertGreater(float(reply.headers['retry-after']), 0.0)
 
-    async def test_what_may_have_run_is_not_sent_twice(self) -> None:
+    async def test_a_request_that_may_have_run_is_not_sent_twice(self) -> None:
         first = await self.add_target('t1', crash)
         second = await self.add_target('t2', crash)
         await self.put_route(idempotent=False)
@@ -150,7 +152,7 @@
         self.assertEqual(reply.status, 502)
         self.assertEqual(len(first.heads) + len(second.heads), 1)
 
-    async def test_a_lost_answer_of_an_idempotent_request_is_replaced(
+    async def test_an_idempotent_request_is_retried_after_a_lost_answer(
         self,
     ) -> None:
         await self.add_target('t1', crash)
@@ -159,7 +161,7 @@
         for _ in range(3):
             self.assertEqual((await self.call()).status, 200)
 
-    async def test_no_more_targets_than_the_route_allows(self) -> None:
+    async def test_retries_stay_within_max_attempts(self) -> None:
         targets = [
             await self.add_target(f't{number}', fail) for number in range(4)
         ]
@@ -168,11 +170,11 @@
         self.assertEqual((reply.status, reply.body), (500, b'oops'))
         self.assertEqual(sum(len(item.heads) for item in targets), 2)
 
-    async def test_a_target_that_cannot_be_reached_is_passed_over(
+    async def test_an_unreachable_target_is_skipped(
         self,
     ) -> None:
-        gone = await self.add_target('t1', serve)
-        gone.stop()
+        stopped = await self.add_target('t1', serve)
+        stopped.stop()
         await self.add_target('t2', serve)
         await self.put_route(idempotent=False, sticky=True)
         for key in range(6):
@@ -183,18 +185,19 @@
 
 
 class IdleConnectionTest(gateway_case.GatewayCase):
-    """Pattern: targets forget idle connections sooner than they say.
+    """Guards against the effects of a target that drops idle connections.
 
-    Guards against a sound target that is left alone for it, and against
-    the loss of further requests on connections as old as the first.
+    It drops them sooner than its keep-alive header states. The healthy
+    target must not be ejected, and no further requests may be lost on
+    connections that were idle as long.
     """
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.answered_on: set[object] = set()
 
-    async def _forget(self, reader, writer, headers):
-        """Answer the first request of each connection and reset it then."""
+    async def _reset_idle_connection(self, reader, writer, headers):
+        """Answer the first request of each connection, reset at the next."""
         if writer in self.answered_on:
             writer.transport.abort()
             return
@@ -202,14 +205,14 @@
         await answer(writer, headers, keep_alive='timeout=30')
 
     async def test_an_idempotent_request_gets_a_new_connection(self) -> None:
-        await self.add_target('t1', self._forget)
+        await self.add_target('t1', self._reset_idle_connection)
         await self.put_route(max_attempts=3)
         for _ in range(3):
             self.assertEqual((await self.call()).status, 200)
             await asyncio.sleep(0.3)
 
-    async def test_one_loss_is_enough_to_learn_from(self) -> None:
-        await self.add_target('t1', self._forget)
+    async def test_only_one_request_is_lost(self) -> None:
+        await self.add_target('t1', self._reset_idle_connection)
         await self.put_route(idempotent=False)
         statuses = []
         for _ in range(5):
@@ -219,8 +222,14 @@
         self.assertEqual(statuses.count(502), 1)
         self.assertEqual(statuses.count(200), 4)
 
-    async def test_a_lost_connection_uses_up_no_target(self) -> None:
-        """Guards against a target that ends being all a request may try."""
+    async def test_a_lost_idle_connection_does_not_count_as_an_attempt(
+        self,
+    ) -> None:
+        """Guards against one ended target using up all attempts.
+
+        Both the idle and a new connection to it are lost. The request must
+        still be sent to the other target.
+        """
 
         async def end(reader, writer, headers):
             if self.answered_on:
@@ -240,7 +249,7 @@
 class AnswerTest(gateway_case.GatewayCase):
     """Guards against an answer that belongs to another request."""
 
-    async def test_a_late_answer_to_another_request_reaches_nobody(
+    async def test_a_late_answer_to_another_request_is_discarded(
         self,
     ) -> None:
         async def answer_twice(reader, writer, headers):
@@ -261,15 +270,15 @@
             )
             await asyncio.sleep(0.03)
 
-    async def test_another_request_id_is_no_answer(self) -> None:
-        async def confuse(reader, writer, headers):
+    async def test_an_answer_with_another_request_id_is_rejected(self) -> None:
+        async def answer_other_request(reader, writer, headers):
             await answer(writer, {'fulmarseam-request-id': 'other'})
 
-        await self.add_target('t1', confuse)
+        await self.add_target('t1', answer_other_request)
         await self.put_route(idempotent=False)
         self.assertEqual((await self.call(method='POST')).status, 502)
 
-    async def test_a_truncated_answer_is_no_success(self) -> None:
+    async def test_a_truncated_answer_is_an_error(self) -> None:
         async def truncate(reader, writer, headers):
             writer.write(
                 b'HTTP/1.1 200 OK\r\nfulmarseam-request-id: q1\r\n'
@@ -282,8 +291,8 @@
         await self.put_route(idempotent=False)
         self.assertEqual((await self.call(method='POST')).status, 502)
 
-    async def test_a_reset_ends_no_body_without_length(self) -> None:
-        """Guards against half a body that looks complete."""
+    async def test_a_reset_does_not_end_a_body_without_length(self) -> None:
+        """Guards against a truncated body that looks complete."""
 
         async def reset(reader, writer, headers):
             writer.write(
@@ -300,10 +309,10 @@
         self.assertEqual((await self.call(method='POST')).status, 502)
 
 
-class TimeTest(gateway_case.GatewayCase):
-    """Guards against requests that are held or run for nobody."""
+class TimeoutTest(gateway_case.GatewayCase):
+    """Guards against requests that go on without a waiting caller."""
 
-    async def test_no_request_is_held_beyond_its_route(self) -> None:
+    async def test_a_request_ends_at_the_timeout_of_its_route(self) -> None:
         async def hang(reader, writer, headers):
             await reader.read(1)
 
@@ -314,7 +323,7 @@
         self.assertEqual(reply.status, 504)
         self.assertLess(time.monotonic() - started, 0.5)
 
-    async def test_a_caller_that_leaves_ends_the_work(self) -> None:
+    async def test_a_caller_that_disconnects_ends_the_request(self) -> None:
         async def hang(reader, writer, headers):
             await reader.read(1)
 
@@ -328,7 +337,7 @@
 
 
 class MembershipTest(gateway_case.GatewayCase):
-    """Guards against new work for targets that leave."""
+    """Guards against requests to targets that must not get them."""
 
     async def test_a_draining_target_gets_no_new_request(self) -> None:
         leaving = await self.add_target('t1', serve)
@@ -346,21 +355,25 @@
         self.assertEqual(len(leaving.heads), 1)
 
     async def test_an_evacuated_domain_gets_no_request(self) -> None:
-        away = await self.add_target('t1', serve, failure_domain='west-ibk')
-        here = await self.add_target('t2', serve)
+        evacuated = await self.add_target(
+            't1', serve, failure_domain='west-ibk'
+        )
+        active = await self.add_target('t2', serve)
         await self.put_route()
         fixtures.evacuate(self.machine, 'west-ibk', True)
         await self.wait_for_catalog()
         for _ in range(4):
             self.assertEqual((await self.call()).status, 200)
-        self.assertEqual((len(away.heads), len(here.heads)), (0, 4))
+        self.assertEqual((len(evacuated.heads), len(active.heads)), (0, 4))
 
-    async def test_regions_that_a_route_forbids_get_no_request(self) -> None:
+    async def test_regions_that_a_route_does_not_allow_get_no_request(
+        self,
+    ) -> None:
         await self.add_target('t1', serve, region='west')
         await self.put_route(allowed_regions=['ost'])
         self.assertEqual((await self.call()).status, 503)
 
-    async def test_an_address_with_another_target_runs_nothing(self) -> None:
+    async def test_a_misdirected_request_is_retried(self) -> None:
         async def refuse_misdirected(reader, writer, headers):
             await answer(writer, headers, 421, b'')
 
@@ -372,7 +385,7 @@
 
 
 class StopTest(gateway_case.GatewayCase):
-    """Guards against a stop that cuts requests in flight."""
+    """Guards against a stop that breaks requests of callers."""
 
     async def _check(self) -> int:
         host, _, port = self.options.readiness.rpartition(':')
@@ -382,7 +395,9 @@
         writer.close()
         return reply.status
 
-    async def test_requests_are_served_until_callers_have_left(self) -> None:
+    async def test_a_stopping_gateway_serves_until_its_grace_period_ends(
+        self,
+    ) -> None:
         async def serve_slowly(reader, writer, headers):
             await asyncio.sleep(0.2)
             await answer(writer, headers)
