--- a/fulmarseam/catalog/_heartbeats.py
+++ b/fulmarseam/catalog/_heartbeats.py
@@ -11,10 +11,7 @@
 
 
 class HeartbeatTracker:
-    """Tells announcements that change the catalog from plain renewals.
-
-    Times are in seconds of a monotonic clock.
-    """
+    """Tells changed announcements from renewals; times in seconds."""
 
     def __init__(self) -> None:
         self._cold_until: dict[ids.TargetId, float] = {}
@@ -54,10 +51,7 @@
 
 
 class TargetLeases:
-    """When each target last announced itself, as known to the leader.
-
-    Times are in seconds of a monotonic clock.
-    """
+    """When the leader last heard of each target; times in seconds."""
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s
@@ -77,9 +71,8 @@
     ) -> list[tuple[ids.TargetId, int]]:
         """Return pairs of id and incarnation of targets with ended leases.
 
-        A target without a lease gets a new one. The result is empty if
-        more than half of the targets are silent, because then the control
-        members are cut off rather than the targets.
+        None are returned if more than half are silent, because then the
+        control members are cut off rather than the targets.
         """
         for target in self._heard_at.keys() - records.keys():
             del self._heard_at[target]
--- a/fulmarseam/catalog/_items.py
+++ b/fulmarseam/catalog/_items.py
@@ -108,10 +108,7 @@
 
 
 def _find_duplicate_matches(items: Sequence[wire.Item]) -> list[str]:
-    """Return a problem for each route of a call that repeats a match.
-
-    Two routes match the same requests if host and path prefix are equal.
-    """
+    """Report routes of one call that match the same requests."""
     problems = []
     route_names: dict[tuple[str, str], str] = {}
     for item in items:
--- a/fulmarseam/gateway/_attempts.py
+++ b/fulmarseam/gateway/_attempts.py
@@ -96,7 +96,7 @@
         """Return whether the lost connection was a reused idle one.
 
         Such a loss does not mean that the target failed, only that it had
-        dropped the idle connection. The pool adapts its idle timeout.
+        dropped the connection.
         """
         connection = self._connection
         if connection is None or not self._is_reused or self.has_answered:
@@ -137,7 +137,7 @@
             self._make_headers(),
             are_checked=True,
         )
-        for chunk in context.body_chunks:
+        for chunk in context.kept:
             connection.send_data(chunk)
         if context.caller.body_done:
             connection.end_request()
--- a/fulmarseam/gateway/_forwarding.py
+++ b/fulmarseam/gateway/_forwarding.py
@@ -39,12 +39,12 @@
 class _FailedAttempt(NamedTuple):
     """Why an attempt failed, and whether another one may follow.
 
-    `may_reuse_target` is set if the next attempt may use the same target.
+    If `same_target` is set, that one may use the same target.
     """
 
     error: errors.FulmarseamError
-    may_retry: bool
-    may_reuse_target: bool = False
+    may_repeat: bool
+    same_target: bool = False
 
 
 class Forwarder:
@@ -169,9 +169,9 @@
             summary.targets[-1] += f':{failure.error.kind.value}'
             if failure.error.answer.outcome is not errors.Outcome.NOT_RUN:
                 possible_run_error = failure.error
-            if not failure.may_reuse_target:
+            if not failure.same_target:
                 avoided.add(placement.target.target)
-            if not failure.may_retry:
+            if not failure.may_repeat:
                 raise possible_run_error or failure.error
 
     def _make_refusal(
@@ -249,7 +249,7 @@
         now: float,
     ) -> float:
         """Return when to give up on a target that has not answered yet."""
-        target_count = len(context.possibly_ran_on | {target.target})
+        target_count = len(context.attempted | {target.target})
         if (
             not context.route.idempotent
             or target_count >= context.route.max_attempts
@@ -284,7 +284,7 @@
         """Return whether to retry, on another target, after a status 500."""
         if answer.response.status != 500 or answer.body is None:
             return False
-        context.possibly_ran_on.add(target.target)
+        context.attempted.add(target.target)
         return self._try_acquire_retry(context, target)
 
     def _try_acquire_retry(
@@ -298,7 +298,7 @@
             now < context.deadline
             and context.route.idempotent
             and context.is_replayable
-            and len(context.possibly_ran_on) < context.route.max_attempts
+            and len(context.attempted) < context.route.max_attempts
             and self._dependencies.load_balancer.try_acquire_retry(
                 now, target.record.pool
             )
@@ -361,7 +361,7 @@
             errors.FulmarseamError(errors.ErrorKind.TARGET_SHED, str(error)),
             context.is_replayable
             and load_balancer.try_acquire_retry(now, pool_name),
-            may_reuse_target=not error.is_misdirected
+            same_target=not error.is_misdirected
             and load_balancer.is_pool_failing(now, pool_name),
         )
 
@@ -388,7 +388,7 @@
             return _FailedAttempt(
                 errors.FulmarseamError(kind, error.detail), not is_late
             )
-        context.possibly_ran_on.add(target.target)
+        context.attempted.add(target.target)
         kind = errors.ErrorKind.TARGET_FAILED
         lost_idle_connection = False
         if error.reason is http.Reason.TIMED_OUT:
@@ -401,5 +401,5 @@
         return _FailedAttempt(
             errors.FulmarseamError(kind, error.detail),
             self._try_acquire_retry(context, target),
-            may_reuse_target=lost_idle_connection,
+            same_target=lost_idle_connection,
         )
--- a/fulmarseam/gateway/_load_balancer.py
+++ b/fulmarseam/gateway/_load_balancer.py
@@ -158,10 +158,16 @@
     def describe_load(self, now: float, pool_name: ids.PoolName) -> str:
         """Return the load of a pool for the details of a refusal."""
         targets = self._get_or_create_pool(pool_name).targets
-        ejected_count = sum(steering.is_ejected(item, now) for item in targets)
-        cold_count = sum(steering.is_cold(item, now) for item in targets)
-        load = sum(steering.estimate_load(item, now) for item in targets)
-        slots = sum(item.record.slots for item in targets)
+        ejected_count = sum(
+            steering.is_ejected(observed, now) for observed in targets
+        )
+        cold_count = sum(
+            steering.is_cold(observed, now) for observed in targets
+        )
+        load = sum(
+            steering.estimate_load(observed, now) for observed in targets
+        )
+        slots = sum(observed.record.slots for observed in targets)
         return (
             f'targets {len(targets)}, ejected {ejected_count}, '
             f'cold {cold_count}, '
@@ -170,7 +176,7 @@
 
     def count_in_flight(self) -> int:
         """Return the number of requests in flight on all targets."""
-        return sum(item.in_flight for item in self._targets.values())
+        return sum(observed.in_flight for observed in self._targets.values())
 
     def set_senders(self, senders: int) -> None:
         """Set the number of entries that share the bounds."""
@@ -205,20 +211,19 @@
     ) -> steering.Placement:
         """Choose a target and count the request there, if one has room.
 
-        `affinity_key` names the object of the request, if known. Targets in
-        `avoided` are not chosen.
+        `affinity_key` names the object of the request, if known.
         """
         cold_rate = self._compute_cold_rate(pool_name)
         placement = steering.place_request(
             now,
             (
-                item
-                for item in self._rank_targets(
+                observed
+                for observed in self._rank_targets(
                     now, route, pool_name, affinity_key
                 )
-                if item.target not in avoided
+                if observed.target not in avoided
             ),
-            lambda item: steering.may_send(item, now, cold_rate),
+            lambda observed: steering.may_send(observed, now, cold_rate),
             route.priority,
             time_left_s,
             TARGETS_PER_OBJECT
@@ -251,12 +256,12 @@
 
         All entries of a region prefer the same targets for an object.
         """
-        targets = _keep_allowed(
+        targets = _filter_by_region(
             self._get_or_create_pool(pool_name).targets, route.allowed_regions
         )
         if affinity_key is None or not route.sticky:
             return sorted(
-                targets, key=lambda item: _compute_load_cost(now, item)
+                targets, key=lambda observed: _compute_load_cost(now, observed)
             )
         ranking_key = (
             pool_name,
@@ -280,18 +285,18 @@
     ) -> dict[ids.TargetId, float]:
         """Return the share of the objects that each target should serve."""
         slots: dict[ids.RegionName, int] = {}
-        for item in targets:
-            region = item.record.region
-            slots[region] = slots.get(region, 0) + item.record.slots
+        for observed in targets:
+            region = observed.record.region
+            slots[region] = slots.get(region, 0) + observed.record.slots
         options = self._options
         shares = steering.compute_region_shares(
             options.region, slots, len(set(options.domains.values()))
         )
         return {
-            item.target: shares[item.record.region]
-            * item.record.slots
-            / slots[item.record.region]
-            for item in targets
+            observed.target: shares[observed.record.region]
+            * observed.record.slots
+            / slots[observed.record.region]
+            for observed in targets
         }
 
     def release(self, observed: steering.ObservedTarget) -> None:
@@ -336,7 +341,9 @@
     def _is_cut_off(self, now: float, pool_name: ids.PoolName) -> bool:
         """Return whether most targets of a pool are ejected."""
         targets = self._get_or_create_pool(pool_name).targets
-        ejected_count = sum(steering.is_ejected(item, now) for item in targets)
+        ejected_count = sum(
+            steering.is_ejected(observed, now) for observed in targets
+        )
         return 2 * ejected_count > len(targets)
 
     def record_timeout(
@@ -365,15 +372,17 @@
         )
 
 
-def _keep_allowed(
+def _filter_by_region(
     targets: list[steering.ObservedTarget], regions: list[ids.RegionName]
 ) -> list[steering.ObservedTarget]:
     if not regions:
         return targets
-    return [item for item in targets if item.record.region in regions]
+    return [
+        observed for observed in targets if observed.record.region in regions
+    ]
 
 
-def _compute_load_cost(now: float, item: steering.ObservedTarget) -> float:
+def _compute_load_cost(now: float, observed: steering.ObservedTarget) -> float:
     """Return the load of a target per slot, with any remote penalty."""
-    load = steering.estimate_load(item, now) / item.record.slots
-    return load + REMOTE_LOAD_PENALTY if item.is_remote else load
+    load = steering.estimate_load(observed, now) / observed.record.slots
+    return load + REMOTE_LOAD_PENALTY if observed.is_remote else load
--- a/fulmarseam/gateway/_requests.py
+++ b/fulmarseam/gateway/_requests.py
@@ -13,21 +13,22 @@
 
 
 class RequestContext:
-    """One request: its route, its deadline and its buffered body.
+    """One request: its route, its deadline and its body.
 
     `deadline` is in seconds of the event loop's clock. `request_path` is
-    sent to the target byte for byte as the caller sent it.
+    sent to targets byte for byte as the caller sent it. `kept` holds the
+    chunks of the body that retries send again.
     """
 
     __slots__ = (
         'arrived_at',
-        'possibly_ran_on',
+        'attempted',
         'caller',
         'deadline',
         'host',
         'is_replayable',
-        'body_chunks',
-        'buffered_bytes',
+        'kept',
+        'kept_bytes',
         'path',
         'request',
         'request_id',
@@ -51,9 +52,9 @@
         self.request_id = request.fields.get(http_names.request_id)
         self.route: wire.RouteItem
         # Targets that may have run the request; a route bounds their number.
-        self.possibly_ran_on: set[ids.TargetId] = set()
-        self.body_chunks: list[bytes] = []
-        self.buffered_bytes = 0
+        self.attempted: set[ids.TargetId] = set()
+        self.kept: list[bytes] = []
+        self.kept_bytes = 0
         self.is_replayable = True
 
     @property
@@ -70,13 +71,12 @@
         """
         caller = self.caller
         while (
-            not caller.body_done
-            and self.buffered_bytes < MAX_BUFFERED_BODY_BYTES
+            not caller.body_done and self.kept_bytes < MAX_BUFFERED_BODY_BYTES
         ):
             chunk = caller.poll_body()
             if chunk:
-                self.body_chunks.append(chunk)
-                self.buffered_bytes += len(chunk)
+                self.kept.append(chunk)
+                self.kept_bytes += len(chunk)
             elif chunk is None:
                 caller.start_body_timeout()
                 await self.signal.wait()
