--- /dev/null
+++ b/fulmarseam/gateway/_load_balancer.py
@@ -0,0 +1,388 @@
+"""Load balancing of requests over the targets that an entry observes."""
+
+from collections.abc import Collection
+import zlib
+
+import logbook
+
+from fulmarseam import catalog
+from fulmarseam import ids
+from fulmarseam import settings
+from fulmarseam import steering
+from fulmarseam import telemetry
+from fulmarseam import wire
+
+# A target that is reachable again may have restarted, so it counts as cold
+# until its announcement can arrive, within a heartbeat of 1.5 s and a poll.
+RECOVERY_COLD_S = 2.0
+# Fraction of the retry bound that is used. Requests and retries of one time
+# window may reach the targets in a different one because of delays.
+RETRY_SHARE_USED = 0.8
+# Targets that share the requests for one object. With more, an overload would
+# spread each object over all targets; these would then keep no object cached,
+# stay slow and prolong the overload.
+TARGETS_PER_OBJECT = 2
+# Load per slot that is added for targets in other regions when targets are
+# ranked for a request without affinity.
+REMOTE_LOAD_PENALTY = 0.4
+# Number of different token offsets between 0 and 1.
+TOKEN_OFFSET_STEPS = 1_000
+# The failure rate of a pool is computed again after this time.
+FAILURE_RATE_INTERVAL_S = 0.2
+# Cached rankings of targets, one per object. The busiest deployments have at
+# least some hundred objects per route.
+MAX_RANKINGS = 20_000
+
+_log = logbook.Logger('gateway')
+
+
+class _Pool:
+    """The targets of one pool that may get new requests."""
+
+    def __init__(self, retry_budget: steering.WindowedRetryBudget) -> None:
+        self.retry_budget = retry_budget
+        self.targets: list[steering.ObservedTarget] = []
+        self._failure_rate = 0.0
+        self._failure_rate_at = float('-inf')
+
+    def get_failure_rate(self, now: float) -> float:
+        """Return the mean failure rate of the targets."""
+        if now - self._failure_rate_at >= FAILURE_RATE_INTERVAL_S:
+            self._failure_rate_at = now
+            self._failure_rate = steering.compute_mean_failure_rate(
+                self.targets
+            )
+        return self._failure_rate
+
+
+class LoadBalancer:
+    """Observes all targets of the catalog and places requests on them.
+
+    Times are in seconds of a monotonic clock. Every target that `place`
+    returns must be given back with `release`.
+    """
+
+    def __init__(
+        self, options: settings.GatewaySettings, mirror: catalog.CatalogMirror
+    ) -> None:
+        self._options = options
+        self._mirror = mirror
+        self._cold_rate_limit = steering.ColdRateLimit(
+            options.cold_factor, options.cold_slack
+        )
+        self._targets: dict[ids.TargetId, steering.ObservedTarget] = {}
+        self._pools: dict[ids.PoolName, _Pool] = {}
+        self._rankings: dict[
+            tuple[str, str, str], list[steering.ObservedTarget]
+        ] = {}
+        self._evacuated: frozenset[ids.DomainName] = frozenset()
+        self.senders = 1
+
+    # Catalog updates
+
+    def update(self, now: float) -> None:
+        """Apply the targets and evacuations of the mirror."""
+        self._rankings.clear()
+        records = self._mirror.targets
+        for target in self._targets.keys() - records.keys():
+            del self._targets[target]
+        for target, record in records.items():
+            self._update_target(now, target, record)
+        restored_domains = self._evacuated - self._mirror.evacuated
+        self._evacuated = self._mirror.evacuated
+        for observed in self._targets.values():
+            if observed.record.failure_domain in restored_domains:
+                # The targets may have lost their caches in the meantime.
+                steering.mark_cold(observed, now, self._get_cold_s(observed))
+        self._group_targets()
+
+    def _update_target(
+        self, now: float, target: ids.TargetId, record: wire.TargetRecord
+    ) -> None:
+        observed = self._targets.get(target)
+        if observed is not None and observed.record == record:
+            return
+        is_new_instance = observed is None or (
+            observed.record.born_ms != record.born_ms
+            or observed.record.address != record.address
+        )
+        if observed is None or is_new_instance:
+            observed = steering.ObservedTarget(
+                record,
+                record.region != self._options.region,
+                token_offset=self._compute_token_offset(target),
+                tokens_at=now,
+                in_flight=observed.in_flight if observed else 0,
+            )
+            self._targets[target] = observed
+        observed.record = record
+        if record.cold_ms > 0.0:
+            steering.mark_cold(observed, now, record.cold_ms / 1_000)
+
+    def _compute_token_offset(self, target: ids.TargetId) -> float:
+        name = f'{self._options.host} {target}'.encode()
+        return (zlib.crc32(name) % TOKEN_OFFSET_STEPS) / TOKEN_OFFSET_STEPS
+
+    def _get_cold_s(self, observed: steering.ObservedTarget) -> float:
+        pool = self._mirror.pools.get(observed.record.pool)
+        return pool.cold_s if pool is not None else 0.0
+
+    def _group_targets(self) -> None:
+        for pool in self._pools.values():
+            pool.targets = []
+        for observed in self._targets.values():
+            record = observed.record
+            if record.phase is not wire.TargetPhase.READY:
+                continue
+            if record.failure_domain in self._evacuated:
+                continue
+            self._get_or_create_pool(record.pool).targets.append(observed)
+
+    def _get_or_create_pool(self, name: ids.PoolName) -> _Pool:
+        pool = self._pools.get(name)
+        if pool is None:
+            options = self._options
+            pool = self._pools[name] = _Pool(
+                steering.WindowedRetryBudget(
+                    options.retry_ratio * RETRY_SHARE_USED,
+                    self._compute_slack(),
+                    options.retry_window,
+                )
+            )
+        return pool
+
+    def count_ready(self) -> int:
+        """Return the number of targets that may get requests."""
+        return sum(len(pool.targets) for pool in self._pools.values())
+
+    def describe_load(self, now: float, pool_name: ids.PoolName) -> str:
+        """Return the load of a pool for the details of a refusal."""
+        targets = self._get_or_create_pool(pool_name).targets
+        ejected_count = sum(
+            steering.is_ejected(observed, now) for observed in targets
+        )
+        cold_count = sum(
+            steering.is_cold(observed, now) for observed in targets
+        )
+        load = sum(
+            steering.estimate_load(observed, now) for observed in targets
+        )
+        slots = sum(observed.record.slots for observed in targets)
+        return (
+            f'targets {len(targets)}, ejected {ejected_count}, '
+            f'cold {cold_count}, '
+            f'estimated load {load:.1f} of {slots} slots'
+        )
+
+    def count_in_flight(self) -> int:
+        """Return the number of requests in flight on all targets."""
+        return sum(observed.in_flight for observed in self._targets.values())
+
+    def set_senders(self, senders: int) -> None:
+        """Set the number of entries that share the bounds."""
+        self.senders = senders
+        for pool in self._pools.values():
+            pool.retry_budget.slack = self._compute_slack()
+
+    def _compute_slack(self) -> float:
+        """Return this entry's part of the retry slack."""
+        return self._options.retry_slack * RETRY_SHARE_USED / self.senders
+
+    # Placement of requests
+
+    def count_request(self, now: float, pool_name: ids.PoolName) -> None:
+        """Count a request of a caller for a pool."""
+        self._get_or_create_pool(pool_name).retry_budget.count_request(now)
+
+    def try_acquire_retry(self, now: float, pool_name: ids.PoolName) -> bool:
+        """Count a retry if the budget of the pool allows it."""
+        return self._get_or_create_pool(pool_name).retry_budget.try_acquire(
+            now
+        )
+
+    def place(
+        self,
+        now: float,
+        route: wire.RouteItem,
+        pool_name: ids.PoolName,
+        affinity_key: str | None,
+        avoided: Collection[ids.TargetId],
+        time_left_s: float,
+    ) -> steering.Placement:
+        """Choose a target and count the request there, if one has room.
+
+        `affinity_key` names the object of the request, if known.
+        """
+        cold_rate = self._compute_cold_rate(pool_name)
+        placement = steering.place_request(
+            now,
+            (
+                observed
+                for observed in self._rank_targets(
+                    now, route, pool_name, affinity_key
+                )
+                if observed.target not in avoided
+            ),
+            lambda observed: steering.may_send(observed, now, cold_rate),
+            route.priority,
+            time_left_s,
+            TARGETS_PER_OBJECT
+            if route.sticky and affinity_key is not None
+            else None,
+            self._get_or_create_pool(pool_name).get_failure_rate(now),
+        )
+        if placement.target is not None:
+            steering.note_start(placement.target, now)
+            if steering.is_cold(placement.target, now):
+                placement.target.tokens -= 1.0
+        return placement
+
+    def _compute_cold_rate(self, pool_name: ids.PoolName) -> float:
+        pool = self._mirror.pools.get(pool_name)
+        if pool is None or pool.cold_per_s <= 0.0:
+            return float('inf')
+        return self._cold_rate_limit.compute_sender_rate(
+            pool.cold_per_s, self.senders
+        )
+
+    def _rank_targets(
+        self,
+        now: float,
+        route: wire.RouteItem,
+        pool_name: ids.PoolName,
+        affinity_key: str | None,
+    ) -> list[steering.ObservedTarget]:
+        """Return the targets for a request in the order of preference.
+
+        All entries of a region prefer the same targets for an object.
+        """
+        targets = _filter_by_region(
+            self._get_or_create_pool(pool_name).targets, route.allowed_regions
+        )
+        if affinity_key is None or not route.sticky:
+            return sorted(
+                targets, key=lambda observed: _compute_load_cost(now, observed)
+            )
+        ranking_key = (
+            pool_name,
+            ','.join(route.allowed_regions),
+            affinity_key,
+        )
+        ranking = self._rankings.get(ranking_key)
+        if ranking is None:
+            if len(self._rankings) >= MAX_RANKINGS:
+                self._rankings.clear()
+            ranking = self._rankings[ranking_key] = [
+                self._targets[target]
+                for target in steering.rank_targets(
+                    affinity_key, self._compute_weights(targets)
+                )
+            ]
+        return ranking
+
+    def _compute_weights(
+        self, targets: list[steering.ObservedTarget]
+    ) -> dict[ids.TargetId, float]:
+        """Return the share of the objects that each target should serve."""
+        slots: dict[ids.RegionName, int] = {}
+        for observed in targets:
+            region = observed.record.region
+            slots[region] = slots.get(region, 0) + observed.record.slots
+        options = self._options
+        shares = steering.compute_region_shares(
+            options.region, slots, len(set(options.domains.values()))
+        )
+        return {
+            observed.target: shares[observed.record.region]
+            * observed.record.slots
+            / slots[observed.record.region]
+            for observed in targets
+        }
+
+    def release(self, observed: steering.ObservedTarget) -> None:
+        """Count the end of a request that `place` put on a target."""
+        steering.note_end(observed)
+
+    # Outcomes of attempts
+
+    def record_load_report(
+        self, now: float, observed: steering.ObservedTarget, report: bytes
+    ) -> None:
+        """Record a load report of the form `running,waiting,slots`."""
+        try:
+            running, waiting, _ = (int(part) for part in report.split(b','))
+        except ValueError:
+            _log.debug(
+                telemetry.format_event(
+                    'load_report_unreadable',
+                    target=observed.target,
+                    found=repr(report),
+                )
+            )
+            return
+        steering.note_report(observed, now, running, waiting)
+
+    def record_answer(
+        self, now: float, observed: steering.ObservedTarget, service_s: float
+    ) -> None:
+        """Record an answer that a target returned after `service_s`."""
+        cold_s = min(self._get_cold_s(observed), RECOVERY_COLD_S)
+        steering.note_answer(observed, now, service_s, cold_s)
+
+    def record_failure(self, observed: steering.ObservedTarget) -> None:
+        """Record a request that a target refused or failed."""
+        steering.note_failure(observed)
+
+    def is_pool_failing(self, now: float, pool_name: ids.PoolName) -> bool:
+        """Return whether a whole pool refuses or fails many requests."""
+        rate = self._get_or_create_pool(pool_name).get_failure_rate(now)
+        return rate >= steering.DOUBTFUL_FAILURE_RATE
+
+    def _is_cut_off(self, now: float, pool_name: ids.PoolName) -> bool:
+        """Return whether most targets of a pool are ejected."""
+        targets = self._get_or_create_pool(pool_name).targets
+        ejected_count = sum(
+            steering.is_ejected(observed, now) for observed in targets
+        )
+        return 2 * ejected_count > len(targets)
+
+    def record_timeout(
+        self, now: float, observed: steering.ObservedTarget
+    ) -> None:
+        """Record a request that got no answer in time."""
+        if steering.is_silent(observed, now):
+            self.eject(now, observed)
+        else:
+            steering.note_failure(observed)
+
+    def eject(self, now: float, observed: steering.ObservedTarget) -> None:
+        """Send no requests to an unreachable or silent target for a while."""
+        steering.eject(observed, now)
+        if self._is_cut_off(now, observed.record.pool):
+            # The entry has lost its own links, so the targets stay warm.
+            observed.recovering = False
+        _log.info(
+            telemetry.format_event(
+                'target_ejected',
+                target=observed.target,
+                address=observed.record.address,
+                failures=observed.failures,
+                pause_s=observed.ejected_until - now,
+            )
+        )
+
+
+def _filter_by_region(
+    targets: list[steering.ObservedTarget], regions: list[ids.RegionName]
+) -> list[steering.ObservedTarget]:
+    if not regions:
+        return targets
+    return [
+        observed for observed in targets if observed.record.region in regions
+    ]
+
+
+def _compute_load_cost(now: float, observed: steering.ObservedTarget) -> float:
+    """Return the load of a target per slot, with any remote penalty."""
+    load = steering.estimate_load(observed, now) / observed.record.slots
+    return load + REMOTE_LOAD_PENALTY if observed.is_remote else load
