--- a/fulmarseam/records/_replication.py
+++ b/fulmarseam/records/_replication.py
@@ -1,8 +1,8 @@
 """The stream of writes from a primary to its backup, without input/output.
 
-Writes of a primary are numbered from 1. The backup takes them only in
-order, so late and repeated messages change nothing. A backup that cannot
-continue a stream gets a full copy first.
+The primary numbers its writes from 1. The backup applies them only in
+order, so late and repeated messages change nothing. A backup that lacks
+earlier writes gets a full copy of the table first.
 """
 
 import collections
@@ -19,19 +19,20 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Copy:
-    number: int
-    at: int
+class _FullCopy:
+    copy_number: int
+    write_number: int
     rows: list[wire.RecordRow]
-    index: int = 0
+    next_index: int = 0
 
 
-class Outbox:
-    """The primary's side: writes that the backup has not confirmed.
+class StreamSender:
+    """Sends the primary's writes until the backup has acknowledged them.
 
-    `acked` is the number up to which the backup of the generation has
-    everything, or -1 when it has confirmed nothing in this generation.
-    `list_rows` returns all rows of the table, for a full copy.
+    `last_number` is the number of the last write. `acked_number` is that of
+    the last write that the current backup has acknowledged, or -1 before its
+    first acknowledgment in this generation. `list_rows` returns all rows of
+    the table, for a full copy.
     """
 
     def __init__(
@@ -40,54 +41,58 @@
         list_rows: Callable[[], list[wire.RecordRow]],
     ) -> None:
         self.stream = stream
-        self.number = 0
-        self.acked = -1
+        self.last_number = 0
+        self.acked_number = -1
         self._list_rows = list_rows
         self._group: wire.RecordGroup | None = None
-        self._log: collections.deque[wire.RecordWrite] = collections.deque()
+        self._unacked_writes: collections.deque[wire.RecordWrite] = (
+            collections.deque()
+        )
         self._base = 0
-        self._copies = 0
-        self._copy: _Copy | None = None
+        self._copy_count = 0
+        self._copy: _FullCopy | None = None
 
     def start_generation(self, group: wire.RecordGroup) -> None:
-        """Serve the backup of a new generation.
+        """Send to the backup of a new generation.
 
-        The same incarnation of the same backup continues; another one gets
-        a full copy.
+        The stream continues if the backup is the same incarnation of the
+        same entry; any other backup gets a full copy.
         """
         old, self._group = self._group, group
-        self.acked = -1
-        if old is not None and _backup_of(old) == _backup_of(group):
+        self.acked_number = -1
+        if old is not None and _identify_backup(old) == _identify_backup(
+            group
+        ):
             return
         self._copy = None
-        self._log.clear()
-        self._base = self.number
+        self._unacked_writes.clear()
+        self._base = self.last_number
         if group.backup is not None:
             self._start_copy()
 
-    def add(self, write: wire.RecordWrite) -> int:
+    def append(self, write: wire.RecordWrite) -> int:
         """Append a write and return its number."""
-        self.number += 1
+        self.last_number += 1
         if self._group is None or self._group.backup is None:
-            self._base = self.number
+            self._base = self.last_number
         else:
-            self._log.append(write)
-        return self.number
+            self._unacked_writes.append(write)
+        return self.last_number
 
-    def has_work(self) -> bool:
-        """Return whether there is something to send."""
+    def has_pending(self) -> bool:
+        """Return whether an acknowledgment of the backup is missing."""
         if self._group is None or self._group.backup is None:
             return False
-        return self.acked < self.number
+        return self.acked_number < self.last_number
 
     def next_message(self) -> StreamMessage:
-        """Return the message to send now; it is sent again until answered."""
+        """Return the next message; the same one until it is answered."""
         assert self._group is not None
         if self._copy is not None:
             return self._make_chunk(self._group, self._copy)
         writes = [
-            self._log[index]
-            for index in range(min(len(self._log), MAX_WRITES))
+            self._unacked_writes[index]
+            for index in range(min(len(self._unacked_writes), MAX_WRITES))
         ]
         return wire.RecordReplicate(
             region=self._group.name,
@@ -97,62 +102,64 @@
             writes=writes,
         )
 
-    def take_progress(
+    def handle_progress(
         self, sent: StreamMessage, progress: wire.RecordProgress
     ) -> None:
-        """Take the backup's answer to a message of this generation."""
+        """Handle the backup's answer; ignore those of other generations."""
         if self._group is None or sent.generation != self._group.generation:
             return
         if progress.applied is not None:
-            if not self._base <= progress.applied <= self.number:
+            if not self._base <= progress.applied <= self.last_number:
                 self._start_copy()
                 return
             self._copy = None
-            self._trim(progress.applied)
-            self.acked = max(self.acked, progress.applied)
-        elif self._copy is None or progress.copy != self._copy.number:
+            self._drop_acked(progress.applied)
+            self.acked_number = max(self.acked_number, progress.applied)
+        elif self._copy is None or progress.copy != self._copy.copy_number:
             self._start_copy()
         else:
-            self._copy.index = progress.next_index
+            self._copy.next_index = progress.next_index
 
     def _start_copy(self) -> None:
-        self._copies += 1
-        self.acked = -1
-        self._log.clear()
-        self._base = self.number
-        self._copy = _Copy(self._copies, self.number, self._list_rows())
+        self._copy_count += 1
+        self.acked_number = -1
+        self._unacked_writes.clear()
+        self._base = self.last_number
+        self._copy = _FullCopy(
+            self._copy_count, self.last_number, self._list_rows()
+        )
 
     def _make_chunk(
-        self, group: wire.RecordGroup, copy: _Copy
+        self, group: wire.RecordGroup, copy: _FullCopy
     ) -> wire.RecordChunk:
-        start = copy.index * MAX_CHUNK_ROWS
+        start = copy.next_index * MAX_CHUNK_ROWS
         end = start + MAX_CHUNK_ROWS
         return wire.RecordChunk(
             region=group.name,
             generation=group.generation,
             stream=self.stream,
-            copy=copy.number,
-            index=copy.index,
+            copy=copy.copy_number,
+            index=copy.next_index,
             last=end >= len(copy.rows),
-            number=copy.at,
+            number=copy.write_number,
             rows=copy.rows[start:end],
         )
 
-    def _trim(self, applied: int) -> None:
+    def _drop_acked(self, applied: int) -> None:
         while self._base < applied:
-            self._log.popleft()
+            self._unacked_writes.popleft()
             self._base += 1
 
 
-def _backup_of(group: wire.RecordGroup) -> tuple[str | None, int]:
+def _identify_backup(group: wire.RecordGroup) -> tuple[str | None, int]:
     return group.backup, group.backup_incarnation
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Intake:
-    """What a message adds at the backup.
+class ReceivedChanges:
+    """What the backup has to apply after a message.
 
-    With `rows` the table is replaced by them; `writes` then follow.
+    If `rows` is set, they replace the table. `writes` are applied after it.
     """
 
     progress: wire.RecordProgress
@@ -160,8 +167,8 @@
     writes: Iterable[wire.RecordWrite] = ()
 
 
-class Inbox:
-    """The backup's side: how much of a stream it has."""
+class StreamReceiver:
+    """Tracks how much of the primary's stream the backup has received."""
 
     def __init__(self) -> None:
         self.stream: wire.RecordStream | None = None
@@ -172,56 +179,58 @@
         self._next_index = 0
 
     def reset(self) -> None:
-        """Forget the stream, when the holder is no backup any more."""
+        """Forget the stream once this replica is no longer the backup."""
         self.stream = None
         self.applied = None
         self._copy = 0
         self._rows = []
         self._next_index = 0
 
-    def has_copy(self, generation: int) -> bool:
+    def has_full_copy(self, generation: int) -> bool:
         """Return whether a full copy was confirmed in a generation."""
         return self.applied is not None and self.generation == generation
 
-    def take(self, message: StreamMessage) -> Intake:
-        """Take a message of the generation in force."""
+    def receive(self, message: StreamMessage) -> ReceivedChanges:
+        """Receive a message of the generation in force."""
         if message.stream != self.stream:
             self.reset()
             self.stream = message.stream
         if isinstance(message, wire.RecordReplicate):
-            return self._take_writes(message)
-        return self._take_chunk(message)
+            return self._receive_writes(message)
+        return self._receive_chunk(message)
 
-    def _take_writes(self, message: wire.RecordReplicate) -> Intake:
+    def _receive_writes(
+        self, message: wire.RecordReplicate
+    ) -> ReceivedChanges:
         if self.applied is None or message.base > self.applied:
-            # Writes are missing; only a full copy helps.
+            # Earlier writes are missing, so the backup asks for a full copy.
             self.applied = None
-            return Intake(self._progress())
+            return ReceivedChanges(self._make_progress())
         self.generation = message.generation
         new = message.writes[self.applied - message.base :]
         self.applied += len(new)
-        return Intake(self._progress(), writes=new)
+        return ReceivedChanges(self._make_progress(), writes=new)
 
-    def _take_chunk(self, message: wire.RecordChunk) -> Intake:
+    def _receive_chunk(self, message: wire.RecordChunk) -> ReceivedChanges:
         if message.copy < self._copy:
-            return Intake(self._progress())
+            return ReceivedChanges(self._make_progress())
         if message.copy > self._copy:
             self.applied = None
             self._copy = message.copy
             self._rows = []
             self._next_index = 0
         if self.applied is not None or message.index != self._next_index:
-            return Intake(self._progress())
+            return ReceivedChanges(self._make_progress())
         self._rows.extend(message.rows)
         self._next_index += 1
         if not message.last:
-            return Intake(self._progress())
+            return ReceivedChanges(self._make_progress())
         rows, self._rows = self._rows, []
         self.applied = message.number
         self.generation = message.generation
-        return Intake(self._progress(), rows=rows)
+        return ReceivedChanges(self._make_progress(), rows=rows)
 
-    def _progress(self) -> wire.RecordProgress:
+    def _make_progress(self) -> wire.RecordProgress:
         return wire.RecordProgress(
             applied=self.applied, copy=self._copy, next_index=self._next_index
         )
--- a/fulmarseam/records/_runtime.py
+++ b/fulmarseam/records/_runtime.py
@@ -1,4 +1,4 @@
-"""The service of a record holder."""
+"""The records service of an entry."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,27 +14,28 @@
 from fulmarseam.records import _storage
 from fulmarseam.records import _table
 
-# Less than the caller of a claim waits, so that it learns the reason.
-SAFE_TIMEOUT_S = 0.8
+# Shorter than the claim timeout of the client, which then gets the reason.
+REPLICATION_TIMEOUT_S = 0.8
 
 FindGroup = Callable[[ids.RegionName], wire.RecordGroup | None]
 
 
 class RecordServer:
-    """Holds records of regions as primary or backup; a context manager.
+    """Serves the records of regions as primary or backup; a context manager.
 
-    `find_group` returns a row of the configuration in force and
-    `is_current` says whether the configuration lease is valid.
-    `update_groups` is called with the rows after each change of the
-    configuration, `handle` gets the messages of other entries, and
-    `list_copies` goes into each sync request. `failed` is done when the
-    journal has failed; the process must then end::
+    `find_group` returns the group of a region from the configuration in
+    force, and `has_config_lease` returns whether the configuration lease is
+    valid. Call `update_groups` after each change of the configuration and
+    `handle` for each message of another entry, and add `list_copies` to
+    each sync request. `failed` is done when the journal has failed; the
+    process must then end::
 
-        holder = records.RecordServer(
-            entry, incarnation, find_group, is_current, peers.client, path)
-        async with holder:
-            holder.update_groups(tables.rows(wire.RecordGroup))
-            answer = await holder.handle(message)
+        server = records.RecordServer(
+            entry, incarnation, find_group, has_config_lease, peers.client,
+            path)
+        async with server:
+            server.update_groups(tables.rows(wire.RecordGroup))
+            answer = await server.handle(message)
     """
 
     def __init__(
@@ -42,18 +43,18 @@
         entry: ids.EntryId,
         incarnation: int,
         find_group: FindGroup,
-        is_current: Callable[[], bool],
+        has_config_lease: Callable[[], bool],
         find_client: _runtime_region.FindClient,
         directory: str | None,
     ) -> None:
         self._entry = entry
         self._incarnation = incarnation
         self._find_group = find_group
-        self._is_current = is_current
+        self._has_config_lease = has_config_lease
         self._find_client = find_client
         self._regions: dict[ids.RegionName, _runtime_region.RegionRecords] = {}
         self._journal = _runtime_journal.JournalWriter(
-            directory, self._list_entries
+            directory, self._list_table_entries
         )
         self._loop = asyncio.get_running_loop()
 
@@ -63,7 +64,7 @@
         return self._journal.failed
 
     async def __aenter__(self) -> Self:
-        """Read the journal.
+        """Load the tables from the journal.
 
         Raises `errors.DamagedDataError` and `JournalFailedError`.
         """
@@ -74,83 +75,89 @@
 
     async def __aexit__(self, *exc_info: object) -> None:
         for records in self._regions.values():
-            records.resign()
+            records.step_down()
         await self._journal.__aexit__(*exc_info)
 
     def set_incarnation(self, incarnation: int) -> None:
-        """Take the incarnation that the leader knows this entry by.
+        """Set the incarnation under which the leader knows this entry.
 
-        It may change only before the first sync has succeeded, when this
-        entry cannot hold anything yet.
+        It may change only until the first sync succeeds; before that, this
+        entry cannot hold records.
         """
         self._incarnation = incarnation
 
     def update_groups(self, groups: Iterable[wire.RecordGroup]) -> None:
-        """Take the rows of the configuration in force."""
+        """Apply the record groups of the configuration in force."""
         rows = {group.name: group for group in groups}
         for region, group in rows.items():
-            known = self._regions.get(region)
-            if known is not None and known.group == group:
+            records = self._regions.get(region)
+            if records is not None and records.group == group:
                 continue
             if self._is_primary(group):
-                self._get_region(region).lead(
+                self._get_or_add_region(region).become_primary(
                     group, self._entry, self._incarnation
                 )
             elif self._is_backup(group):
-                self._get_region(region).follow(group)
-            elif known is not None:
-                known.forget_group()
+                self._get_or_add_region(region).become_backup(group)
+            elif records is not None:
+                records.leave_group()
         for region in self._regions.keys() - rows.keys():
-            self._regions[region].forget_group()
+            self._regions[region].leave_group()
 
     def list_copies(self) -> list[wire.RecordCopy]:
-        """Return the groups of which this backup has a full copy."""
+        """Return the groups for which this backup has a full copy."""
         return [
             wire.RecordCopy(region=region, generation=group.generation)
             for region, records in self._regions.items()
             if (group := records.group) is not None
             and self._is_backup(group)
-            and records.inbox.has_copy(group.generation)
+            and records.receiver.has_full_copy(group.generation)
         ]
 
     async def handle(self, message: wire.Message) -> wire.Message | None:
-        """Answer a message about records; None for any other message.
+        """Answer a message about records; return None for any other message.
 
         Raises `errors.FulmarseamError` with `record_unavailable` when this
-        holder must not or cannot answer. A repeated message is harmless.
+        replica must not or cannot answer. Handling is idempotent.
         """
         if isinstance(message, wire.RecordClaim):
             return await self._claim(message)
         if isinstance(message, wire.RecordFinish | wire.RecordRelease):
-            return await self._end(message)
+            return await self._end_attempt(message)
         if isinstance(message, wire.RecordReplicate | wire.RecordChunk):
-            return await self._take_stream(message)
+            return await self._handle_stream(message)
         return None
 
     async def _claim(self, message: wire.RecordClaim) -> wire.RecordVerdict:
         records, group = self._require_primary(message.region)
-        _check_key(message.key, group)
+        _require_valid_key(message.key, group)
         if group.backup is None:
-            raise _runtime_region.make_unavailable('the group has no backup')
+            raise _runtime_region.make_unavailable(
+                'the record group has no backup'
+            )
         decision = records.table.claim(self._loop.time(), group, message)
         if decision.verdict is wire.Verdict.FRESH:
             if decision.write is not None:
-                records.add(decision.write)
-            await records.wait_until_safe(SAFE_TIMEOUT_S)
-            # The claim may have been released and the group may have
-            # changed meanwhile; asking again is idempotent.
-            again, group = self._require_primary(message.region)
-            if again is not records or records.outbox is None:
-                raise _runtime_region.make_unavailable('the group changed')
+                records.append(decision.write)
+            await records.wait_until_replicated(REPLICATION_TIMEOUT_S)
+            # The claim may have been released or the group changed during
+            # the wait, so the claim is repeated, which is idempotent.
+            current, group = self._require_primary(message.region)
+            if current is not records or records.sender is None:
+                raise _runtime_region.make_unavailable(
+                    'the record group changed during the claim'
+                )
             decision = records.table.claim(self._loop.time(), group, message)
             if decision.write is not None:
-                records.add(decision.write)
-                raise _runtime_region.make_unavailable('the claim was lost')
+                records.append(decision.write)
+                raise _runtime_region.make_unavailable(
+                    'the claim was lost during the wait'
+                )
         return wire.RecordVerdict(
             verdict=decision.verdict, answer=decision.answer
         )
 
-    async def _end(
+    async def _end_attempt(
         self, message: wire.RecordFinish | wire.RecordRelease
     ) -> wire.Message:
         records, _ = self._require_primary(message.region)
@@ -160,11 +167,11 @@
         else:
             write = records.table.release(now, message)
         if write is not None:
-            records.add(write)
-        await records.wait_until_safe(SAFE_TIMEOUT_S)
+            records.append(write)
+        await records.wait_until_replicated(REPLICATION_TIMEOUT_S)
         return wire.Ok()
 
-    async def _take_stream(
+    async def _handle_stream(
         self, message: _replication.StreamMessage
     ) -> wire.RecordProgress:
         group = self._require_group(message.region)
@@ -180,7 +187,9 @@
                 f'of {stream.primary}, expected {group.generation} of '
                 f'{group.primary}'
             )
-        return await self._get_region(message.region).take_stream(message)
+        return await self._get_or_add_region(
+            message.region
+        ).apply_stream_message(message)
 
     def _require_primary(
         self, region: ids.RegionName
@@ -188,23 +197,26 @@
         group = self._require_group(region)
         if not self._is_primary(group):
             raise _runtime_region.make_unavailable(
-                f'{region}: the primary is {group.primary}'
+                f'{region}: expected this entry as primary, found '
+                f'{group.primary}'
             )
-        return self._get_region(region), group
+        return self._get_or_add_region(region), group
 
     def _require_group(self, region: ids.RegionName) -> wire.RecordGroup:
-        """Return the group that is in force here, and known to be."""
+        """Return the group of a region if this entry may act on it."""
         group = self._find_group(region)
         if group is None:
-            raise _runtime_region.make_unavailable(f'{region}: no group')
-        if not self._is_current():
+            raise _runtime_region.make_unavailable(
+                f'{region}: the region has no record group'
+            )
+        if not self._has_config_lease():
             raise _runtime_region.make_unavailable(
                 'the configuration lease has ended'
             )
         if self._journal.failed.done():
             raise self._journal.failed.result()
-        known = self._regions.get(region)
-        if known is None or known.group != group:
+        records = self._regions.get(region)
+        if records is None or records.group != group:
             raise _runtime_region.make_unavailable(
                 f'{region}: generation {group.generation} is not in force yet'
             )
@@ -222,13 +234,13 @@
             self._incarnation,
         )
 
-    def _get_region(
+    def _get_or_add_region(
         self, region: ids.RegionName
     ) -> _runtime_region.RegionRecords:
-        known = self._regions.get(region)
-        if known is None:
-            known = self._add_region(region, _table.RecordTable())
-        return known
+        records = self._regions.get(region)
+        if records is None:
+            records = self._add_region(region, _table.RecordTable())
+        return records
 
     def _add_region(
         self, region: ids.RegionName, table: _table.RecordTable
@@ -239,21 +251,23 @@
         self._regions[region] = records
         return records
 
-    def _list_entries(self) -> Iterator[_storage.JournalEntry]:
+    def _list_table_entries(self) -> Iterator[_storage.JournalEntry]:
         now = self._loop.time()
         for region, records in self._regions.items():
-            yield from _storage.list_entries(region, records.table.rows(now))
+            yield from _storage.make_reset_entries(
+                region, records.table.rows(now)
+            )
 
 
-def _check_key(key: str, group: wire.RecordGroup) -> None:
-    """Refuse a key that this group cannot bound in time."""
+def _require_valid_key(key: str, group: wire.RecordGroup) -> None:
+    """Refuse a key of another region or of a later generation."""
     parts = _table.parse_key(key)
     if parts is None or parts.home != group.name:
         raise _runtime_region.make_unavailable(
-            f'{key!r} is no key of {group.name}'
+            f'{key!r}: expected a key of region {group.name}'
         )
     if parts.generation > group.generation:
-        # The entry that gave it out knows a newer generation.
+        # The entry that issued the key knows a newer generation.
         raise _runtime_region.make_unavailable(
-            f'{key!r} is of a generation after {group.generation}'
+            f'{key!r}: expected a generation up to {group.generation}'
         )
--- a/fulmarseam/records/_runtime_client.py
+++ b/fulmarseam/records/_runtime_client.py
@@ -1,4 +1,4 @@
-"""Calls of an entry to the record holders."""
+"""Calls of an entry to the primary of a record group."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -12,20 +12,20 @@
 from fulmarseam.records import _table
 
 CLAIM_TIMEOUT_S = 1.0
-# A finish or release is repeated until a holder that was lost has been
-# replaced, which takes a bit over two leases of 3 s.
-END_TIMEOUT_S = 10.0
+# A finish or release is retried until a lost primary has been replaced,
+# which takes slightly more than two leases of 3 s.
+FINISH_TIMEOUT_S = 10.0
 CALL_TIMEOUT_S = 1.0
 RETRY_PAUSE_S = 0.05
 
-Handle = Callable[[wire.Message], Awaitable[wire.Message | None]]
+HandleMessage = Callable[[wire.Message], Awaitable[wire.Message | None]]
 
 
 class RecordClient:
-    """Claims and ends requests at the primary of their key's home.
+    """Claims and ends requests at the primary of their key's home region.
 
-    `handle` is that of the holder in the same process, which is called
-    directly when it is the primary.
+    `handle_locally` is the handler of the `RecordServer` in the same process,
+    which is called directly when this entry is the primary.
     """
 
     def __init__(
@@ -33,33 +33,33 @@
         entry: ids.EntryId,
         find_group: _runtime.FindGroup,
         find_client: _runtime_region.FindClient,
-        handle: Handle,
+        handle_locally: HandleMessage,
     ) -> None:
         self._entry = entry
         self._find_group = find_group
         self._find_client = find_client
-        self._handle = handle
+        self._handle_locally = handle_locally
 
     async def claim(
         self, key: str, fingerprint: str, attempt: str, timeout_s: float
     ) -> wire.RecordVerdict:
-        """Claim the right to run a request; only FRESH gives it.
+        """Claim the right to run a request; only the verdict FRESH grants it.
 
         `timeout_s` is the time left to the request. Raises
         `errors.FulmarseamError` with `request_id_required` for a key that
-        no look-up answer gave out, and with `record_unavailable` when the
-        primary gave no verdict; the claim may have landed all the same, so
-        a `release` must follow.
+        no look-up answer issued, and with `record_unavailable` when the
+        primary returned no verdict. The primary may still have stored the
+        claim then, so the caller must call `release`.
         """
         message = wire.RecordClaim(
-            region=self._find_home(key),
+            region=self._find_home_region(key),
             key=key,
             fingerprint=fingerprint,
             attempt=attempt,
             deadline_ms=max(0, int(timeout_s * 1_000)),
         )
         limit_s = min(timeout_s, CLAIM_TIMEOUT_S)
-        answer = await self._call_until(message, limit_s)
+        answer = await self._call_with_retries(message, limit_s)
         if not isinstance(answer, wire.RecordVerdict):
             raise _runtime_region.make_unavailable(
                 f'found {type(answer).__name__}, expected a verdict'
@@ -69,30 +69,31 @@
     async def finish(
         self, key: str, attempt: str, answer: wire.StoredAnswer | None
     ) -> None:
-        """Store the answer, or with None that the outcome is unknown.
+        """Store the answer, or None for an unknown outcome.
 
         Raises `errors.FulmarseamError` with `record_unavailable` when no
-        primary took it within 10 s; the record then says unknown.
+        primary stored it within 10 s; the outcome of the record is then
+        unknown.
         """
         message = wire.RecordFinish(
-            region=self._find_home(key),
+            region=self._find_home_region(key),
             key=key,
             attempt=attempt,
-            answer=_table.trim_answer(answer),
+            answer=_table.drop_large_body(answer),
         )
-        await self._call_until(message, END_TIMEOUT_S)
+        await self._call_with_retries(message, FINISH_TIMEOUT_S)
 
     async def release(self, key: str, attempt: str) -> None:
-        """Give back the claim of an attempt that did not and will not run.
+        """Release the claim of an attempt that did not and will not run.
 
-        Raises as `finish` does.
+        Raises the same errors as `finish`.
         """
         message = wire.RecordRelease(
-            region=self._find_home(key), key=key, attempt=attempt
+            region=self._find_home_region(key), key=key, attempt=attempt
         )
-        await self._call_until(message, END_TIMEOUT_S)
+        await self._call_with_retries(message, FINISH_TIMEOUT_S)
 
-    def _find_home(self, key: str) -> ids.RegionName:
+    def _find_home_region(self, key: str) -> ids.RegionName:
         parts = _table.parse_key(key)
         if parts is None or self._find_group(parts.home) is None:
             raise errors.FulmarseamError(
@@ -103,44 +104,44 @@
             )
         return parts.home
 
-    async def _call_until(
+    async def _call_with_retries(
         self,
         message: wire.RecordClaim | wire.RecordFinish | wire.RecordRelease,
         limit_s: float,
     ) -> wire.Message:
-        """Call the primary until it answers, for a limited time.
+        """Call the primary until it answers or the time is over.
 
-        Repeats are harmless: the attempt makes them the same request.
+        Retries are idempotent, since they carry the same attempt.
         """
-        reason = 'no time left'
+        reason = 'the primary did not answer in time'
         try:
             async with asyncio.timeout(limit_s):
                 while True:
                     try:
-                        return await self._call(message)
+                        return await self._call_primary(message)
                     except errors.FulmarseamError as error:
                         reason = error.detail
                     await asyncio.sleep(RETRY_PAUSE_S)
         except TimeoutError:
             raise _runtime_region.make_unavailable(reason) from None
 
-    async def _call(
+    async def _call_primary(
         self,
         message: wire.RecordClaim | wire.RecordFinish | wire.RecordRelease,
     ) -> wire.Message:
         group = self._find_group(message.region)
         if group is None:
             raise _runtime_region.make_unavailable(
-                f'{message.region}: no group'
+                f'{message.region}: the region has no record group'
             )
         answer: wire.Message | None
         if group.primary == self._entry:
-            answer = await self._handle(message)
+            answer = await self._handle_locally(message)
         else:
             client = self._find_client(group.primary)
             if client is None:
                 raise _runtime_region.make_unavailable(
-                    f'{group.primary}: address not known'
+                    f'{group.primary}: the address of the primary is not known'
                 )
             answer = await client.call(message, CALL_TIMEOUT_S)
         if answer is None or isinstance(answer, wire.Failure):
--- a/fulmarseam/records/_runtime_journal.py
+++ b/fulmarseam/records/_runtime_journal.py
@@ -1,4 +1,4 @@
-"""Group commit of the journal beside the event loop."""
+"""Group commit of the journal in a worker thread."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,20 +10,20 @@
 from fulmarseam.records import _storage
 from fulmarseam.records import _table
 
-ListEntries = Callable[[], Iterable[_storage.JournalEntry]]
+ListTableEntries = Callable[[], Iterable[_storage.JournalEntry]]
 
 
 class JournalWriter:
-    """Writes what was appended meanwhile with one sync; a context manager.
+    """Writes pending entries in batches of one sync; a context manager.
 
-    The write and the sync run in one worker thread, which runs no other
-    code, because a sync of several milliseconds on the event loop would
-    delay every request. Without a directory nothing is kept.
-    `list_entries` returns the entries that rebuild all tables.
+    Writes and syncs run in a worker thread of their own, since a sync of
+    several milliseconds on the event loop would delay every request.
+    Without a directory nothing is stored. `list_table_entries` returns the
+    entries that rebuild all tables.
     """
 
     def __init__(
-        self, directory: str | None, list_entries: ListEntries
+        self, directory: str | None, list_table_entries: ListTableEntries
     ) -> None:
         self.tables: dict[ids.RegionName, _table.RecordTable] = {}
         self.failed: asyncio.Future[_storage.JournalFailedError] = (
@@ -32,14 +32,14 @@
         self._journal: _storage.Journal | None = None
         if directory is not None:
             self._journal = _storage.Journal(directory)
-        self._list_entries = list_entries
+        self._list_table_entries = list_table_entries
         self._pending: list[_storage.JournalEntry] = []
-        self._appended = 0
-        self._synced = 0
-        self._waiters: list[tuple[int, asyncio.Future[None]]] = []
+        self._appended_count = 0
+        self._synced_count = 0
+        self._sync_waiters: list[tuple[int, asyncio.Future[None]]] = []
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        self._worker = futures.ThreadPoolExecutor(1, 'records-journal')
+        self._executor = futures.ThreadPoolExecutor(1, 'records-journal')
 
     async def __aenter__(self) -> Self:
         """Open the journal and fill `tables`.
@@ -48,7 +48,7 @@
         """
         if self._journal is not None:
             self.tables = self._journal.open()
-            self._task = asyncio.create_task(self._run())
+            self._task = asyncio.create_task(self._write_batches())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
@@ -56,16 +56,16 @@
             await asyncio.gather(self.flush(), return_exceptions=True)
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        self._worker.shutdown()
+        self._executor.shutdown()
         if self._journal is not None:
             self._journal.close()
 
     def append(self, entry: _storage.JournalEntry) -> None:
-        """Add an entry to the next write."""
+        """Add an entry to the next batch."""
         if self._journal is None:
             return
         self._pending.append(entry)
-        self._appended += 1
+        self._appended_count += 1
         self._wake.set()
 
     async def flush(self) -> None:
@@ -75,13 +75,13 @@
         """
         if self.failed.done():
             raise self.failed.result()
-        if self._synced >= self._appended:
+        if self._synced_count >= self._appended_count:
             return
         waiter = asyncio.get_running_loop().create_future()
-        self._waiters.append((self._appended, waiter))
+        self._sync_waiters.append((self._appended_count, waiter))
         await waiter
 
-    async def _run(self) -> None:
+    async def _write_batches(self) -> None:
         try:
             while True:
                 await self._wake.wait()
@@ -89,7 +89,7 @@
                 await self._write_pending()
         except _storage.JournalFailedError as error:
             self.failed.set_result(error)
-            for _, waiter in self._waiters:
+            for _, waiter in self._sync_waiters:
                 if not waiter.done():
                     waiter.set_exception(error)
 
@@ -99,23 +99,23 @@
         while self._pending:
             batch, self._pending = self._pending, []
             await loop.run_in_executor(
-                self._worker, self._journal.write, batch
+                self._executor, self._journal.write, batch
             )
-            self._synced += len(batch)
-            self._answer_waiters()
+            self._synced_count += len(batch)
+            self._resolve_waiters()
         if self._journal.should_compact():
-            # What is appended meanwhile is written again after it; replaying
-            # it twice ends in the same tables.
-            entries = list(self._list_entries())
+            # Entries appended during the rewrite are also written after it;
+            # replaying an entry twice leads to the same tables.
+            entries = list(self._list_table_entries())
             await loop.run_in_executor(
-                self._worker, self._journal.rewrite, entries
+                self._executor, self._journal.rewrite, entries
             )
 
-    def _answer_waiters(self) -> None:
+    def _resolve_waiters(self) -> None:
         left = []
-        for number, waiter in self._waiters:
-            if number > self._synced:
+        for number, waiter in self._sync_waiters:
+            if number > self._synced_count:
                 left.append((number, waiter))
             elif not waiter.done():
                 waiter.set_result(None)
-        self._waiters = left
+        self._sync_waiters = left
--- a/fulmarseam/records/_runtime_region.py
+++ b/fulmarseam/records/_runtime_region.py
@@ -1,4 +1,4 @@
-"""The records of one region on one holder."""
+"""The records of one region on one replica."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,8 +16,8 @@
 from fulmarseam.records import _storage
 from fulmarseam.records import _table
 
-REPLICATE_TIMEOUT_S = 0.5
-RETRY_PAUSE_S = 0.02
+STREAM_CALL_TIMEOUT_S = 0.5
+STREAM_RETRY_PAUSE_S = 0.02
 
 FindClient = Callable[[ids.EntryId], transport.RpcClient | None]
 
@@ -25,10 +25,11 @@
 
 
 class RegionRecords:
-    """Table, replication and journal of a region.
+    """Connects the table of a region to its replication and the journal.
 
-    `now` is the clock of the event loop. The caller checks that the group
-    in force names this holder and that its configuration is current.
+    Times are those of the event loop's clock. The caller checks that the
+    group in force names this replica and that the configuration lease is
+    valid.
     """
 
     def __init__(
@@ -41,100 +42,108 @@
         self.region = region
         self.table = table
         self.group: wire.RecordGroup | None = None
-        self.inbox = _replication.Inbox()
-        self.outbox: _replication.Outbox | None = None
+        self.receiver = _replication.StreamReceiver()
+        self.sender: _replication.StreamSender | None = None
         self._journal = journal
         self._find_client = find_client
         self._wake = asyncio.Event()
-        self._waiters: list[tuple[int, asyncio.Future[None]]] = []
-        self._task: asyncio.Task[None] | None = None
+        self._ack_waiters: list[tuple[int, asyncio.Future[None]]] = []
+        self._replication_task: asyncio.Task[None] | None = None
         self._loop = asyncio.get_running_loop()
 
-    def lead(
+    def become_primary(
         self, group: wire.RecordGroup, entry: ids.EntryId, incarnation: int
     ) -> None:
-        """Be the primary of a generation."""
-        if self.outbox is None:
-            self.inbox.reset()
+        """Act as the primary of a generation."""
+        if self.sender is None:
+            self.receiver.reset()
             stream = wire.RecordStream(entry, incarnation, group.generation)
-            self.outbox = _replication.Outbox(
+            self.sender = _replication.StreamSender(
                 stream, lambda: self.table.rows(self._loop.time())
             )
-            self._task = asyncio.create_task(self._replicate(self.outbox))
-        self._take_group(group)
-        self.outbox.start_generation(group)
+            self._replication_task = asyncio.create_task(
+                self._replicate(self.sender)
+            )
+        self._set_group(group)
+        self.sender.start_generation(group)
         self._wake.set()
 
-    def follow(self, group: wire.RecordGroup) -> None:
-        """Be the backup of a generation."""
-        self.resign()
-        self._take_group(group)
-
-    def resign(self) -> None:
-        """Be primary no more; waiting calls fail."""
-        self.outbox = None
-        if self._task is not None:
-            self._task.cancel()
-            self._task = None
-        for _, waiter in self._waiters:
+    def become_backup(self, group: wire.RecordGroup) -> None:
+        """Act as the backup of a generation."""
+        self.step_down()
+        self._set_group(group)
+
+    def step_down(self) -> None:
+        """Stop acting as the primary and fail the waiting calls."""
+        self.sender = None
+        if self._replication_task is not None:
+            self._replication_task.cancel()
+            self._replication_task = None
+        for _, waiter in self._ack_waiters:
             if not waiter.done():
-                waiter.set_exception(make_unavailable('not the primary'))
-        self._waiters = []
+                waiter.set_exception(
+                    make_unavailable('this entry is no longer the primary')
+                )
+        self._ack_waiters = []
 
-    def forget_group(self) -> None:
-        """Take note that the group in force names others."""
-        self.resign()
-        self.inbox.reset()
+    def leave_group(self) -> None:
+        """Stop acting as a replica, since the group names other entries."""
+        self.step_down()
+        self.receiver.reset()
         self.group = None
 
-    def add(self, write: wire.RecordWrite) -> None:
-        """Send a write of the primary to the backup and the journal."""
-        assert self.outbox is not None
-        self.outbox.add(write)
+    def append(self, write: wire.RecordWrite) -> None:
+        """Add a write of the primary to the stream and the journal."""
+        assert self.sender is not None
+        self.sender.append(write)
         self._journal.append(
             _storage.JournalEntry(self.region, False, 0, [write])
         )
         self._wake.set()
 
-    async def wait_until_safe(self, timeout_s: float) -> None:
-        """Wait until all writes are at the backup and in the journal.
+    async def wait_until_replicated(self, timeout_s: float) -> None:
+        """Wait until the backup and the journal have stored all writes.
 
         Raises `errors.FulmarseamError` with `record_unavailable` when that
-        takes longer, and `JournalFailedError`.
+        takes longer than `timeout_s`, and `JournalFailedError`.
         """
-        assert self.outbox is not None
-        number = self.outbox.number
+        assert self.sender is not None
+        number = self.sender.last_number
         try:
             async with asyncio.timeout(timeout_s):
-                if self.outbox.acked < number:
+                if self.sender.acked_number < number:
                     waiter = self._loop.create_future()
-                    self._waiters.append((number, waiter))
+                    self._ack_waiters.append((number, waiter))
                     await waiter
                 await self._journal.flush()
         except TimeoutError:
-            raise make_unavailable('the backup does not answer') from None
+            raise make_unavailable(
+                'the backup or the journal did not confirm the write in time'
+            ) from None
 
-    async def take_stream(
+    async def apply_stream_message(
         self, message: _replication.StreamMessage
     ) -> wire.RecordProgress:
-        """Take writes or part of a copy as backup, and sync them.
+        """Apply writes or a chunk of a full copy as the backup, and sync.
 
         Raises `JournalFailedError`.
         """
-        intake = self.inbox.take(message)
+        received = self.receiver.receive(message)
         now = self._loop.time()
-        if intake.rows is not None:
+        if received.rows is not None:
             self.table = _table.RecordTable()
-            for row in intake.rows:
+            for row in received.rows:
                 self.table.apply(now, wire.RecordWrite(row.key, row))
-            for entry in _storage.list_entries(self.region, intake.rows):
+            for entry in _storage.make_reset_entries(
+                self.region, received.rows
+            ):
                 self._journal.append(entry)
             _log.info(
                 telemetry.format_event(
                     'records_copied', region=self.region, rows=len(self.table)
                 )
             )
-        writes = list(intake.writes)
+        writes = list(received.writes)
         for write in writes:
             self.table.apply(now, write)
         if writes:
@@ -142,12 +151,12 @@
                 _storage.JournalEntry(self.region, False, 0, writes)
             )
         await self._journal.flush()
-        return intake.progress
+        return received.progress
 
-    def _take_group(self, group: wire.RecordGroup) -> None:
+    def _set_group(self, group: wire.RecordGroup) -> None:
         self.group = group
-        # Equal generations mean that both holders were lost. What is left
-        # of their records still answers repeats.
+        # Equal generations mean that both replicas were lost. The records
+        # that are left still answer repeated requests, so they are kept.
         if group.lost_before >= group.generation:
             return
         if self.table.drop_below(group.lost_before):
@@ -157,41 +166,41 @@
                 )
             )
 
-    async def _replicate(self, outbox: _replication.Outbox) -> None:
-        """Send to the backup what it lacks, one message at a time."""
+    async def _replicate(self, sender: _replication.StreamSender) -> None:
+        """Send pending messages to the backup, one at a time."""
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while outbox.has_work():
-                if not await self._send_next(outbox):
-                    await asyncio.sleep(RETRY_PAUSE_S)
+            while sender.has_pending():
+                if not await self._send_next(sender):
+                    await asyncio.sleep(STREAM_RETRY_PAUSE_S)
 
-    async def _send_next(self, outbox: _replication.Outbox) -> bool:
+    async def _send_next(self, sender: _replication.StreamSender) -> bool:
         group = self.group
         if group is None or group.backup is None:
             return False
         client = self._find_client(group.backup)
         if client is None:
             return False
-        message = outbox.next_message()
+        message = sender.next_message()
         with contextlib.suppress(errors.FulmarseamError):
-            answer = await client.call(message, REPLICATE_TIMEOUT_S)
+            answer = await client.call(message, STREAM_CALL_TIMEOUT_S)
             if isinstance(answer, wire.RecordProgress):
-                outbox.take_progress(message, answer)
-                self._answer_waiters(outbox.acked)
+                sender.handle_progress(message, answer)
+                self._resolve_waiters(sender.acked_number)
                 return True
         return False
 
-    def _answer_waiters(self, acked: int) -> None:
+    def _resolve_waiters(self, acked_number: int) -> None:
         left = []
-        for number, waiter in self._waiters:
-            if number > acked:
+        for number, waiter in self._ack_waiters:
+            if number > acked_number:
                 left.append((number, waiter))
             elif not waiter.done():
                 waiter.set_result(None)
-        self._waiters = left
+        self._ack_waiters = left
 
 
 def make_unavailable(detail: str) -> errors.FulmarseamError:
-    """Return the error of a holder that cannot answer."""
+    """Return the error of a replica that cannot answer."""
     return errors.FulmarseamError(errors.ErrorKind.RECORD_UNAVAILABLE, detail)
--- a/fulmarseam/records/_storage.py
+++ b/fulmarseam/records/_storage.py
@@ -1,4 +1,4 @@
-"""The journal of records on hosts with a data directory."""
+"""The journal of records in the data directory."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -17,19 +17,19 @@
 from fulmarseam import wire
 from fulmarseam.records import _table
 
-FILE_NAME = 'records.journal'
-# Starts every frame, so that frames after a damaged one can be found.
-MAGIC = b'\xf5FRJ'
-HEADER = struct.Struct('<4sII')
+JOURNAL_FILE_NAME = 'records.journal'
+# Marks the start of a frame, so that frames after a damaged one are found.
+FRAME_MAGIC = b'\xf5FRJ'
+FRAME_HEADER = struct.Struct('<4sII')
 COMPACT_MIN_BYTES = 64 * 1024 * 1024
-REWRITE_BATCH = 500
+REWRITE_BATCH_ROWS = 500
 
 
 class JournalEntry(msgspec.Struct, frozen=True, array_like=True):
     """A change of one region's table.
 
-    With `reset` the table is emptied first; then records of generations
-    below `drop_below` are dropped, and the writes are applied.
+    If `reset` is set, the table is emptied first. Then records of
+    generations below `drop_below` are dropped and `writes` are applied.
     """
 
     region: ids.RegionName
@@ -44,7 +44,7 @@
 
 
 class JournalFailedError(errors.FulmarseamError):
-    """A write or sync failed; the process must end."""
+    """Raised when a write or sync failed; the process must then end."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(errors.ErrorKind.INTERNAL, detail)
@@ -62,7 +62,7 @@
     """
 
     def __init__(self, directory: str) -> None:
-        self._path = pathlib.Path(directory) / FILE_NAME
+        self._path = pathlib.Path(directory) / JOURNAL_FILE_NAME
         self._file = -1
         self._failed = False
         self._size = 0
@@ -71,10 +71,10 @@
     def open(self) -> dict[ids.RegionName, _table.RecordTable]:
         """Open the file and return the tables that it holds.
 
-        Claims that were pending count as past their deadline. Raises
+        The deadline of a pending claim counts as past. Raises
         `errors.DamagedDataError` and `JournalFailedError`.
         """
-        with self._fail_for_good():
+        with self._latch_failure():
             self._path.parent.mkdir(parents=True, exist_ok=True)
             flags = os.O_RDWR | os.O_CREAT
             self._file = os.open(self._path, flags, 0o600)
@@ -85,7 +85,7 @@
             end = frame.end
             for entry in frame.entries:
                 _replay(tables, entry)
-        with self._fail_for_good():
+        with self._latch_failure():
             os.ftruncate(self._file, end)
             os.lseek(self._file, end, os.SEEK_SET)
             os.fsync(self._file)
@@ -96,27 +96,27 @@
     def write(self, entries: Sequence[JournalEntry]) -> None:
         """Append the entries in one frame and sync.
 
-        Raises `JournalFailedError`, also for every write after a failed
-        one: what the disk holds is not known any more.
+        Raises `JournalFailedError`, also for every write after a failed one,
+        since the content of the disk is then unknown.
         """
         frame = _make_frame(entries)
-        with self._fail_for_good():
+        with self._latch_failure():
             _write_all(self._file, frame)
             os.fdatasync(self._file)
         self._size += len(frame)
 
     def should_compact(self) -> bool:
-        """Return whether the file has grown much since it was rewritten."""
+        """Return whether the file is large and has doubled since a rewrite."""
         grown = self._size > 2 * self._compacted_size
         return grown and self._size > COMPACT_MIN_BYTES
 
     def rewrite(self, entries: Iterable[JournalEntry]) -> None:
-        """Replace the content, so that a crash leaves the old or the new.
+        """Replace the content atomically.
 
         Raises `JournalFailedError`.
         """
         temporary = self._path.with_suffix('.tmp')
-        with self._fail_for_good():
+        with self._latch_failure():
             flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC
             file = os.open(temporary, flags, 0o600)
             size = 0
@@ -138,7 +138,7 @@
             self._file = -1
 
     @contextlib.contextmanager
-    def _fail_for_good(self) -> Iterator[None]:
+    def _latch_failure(self) -> Iterator[None]:
         if self._failed:
             raise JournalFailedError(f'{self._path}: an earlier write failed')
         try:
@@ -150,13 +150,13 @@
             ) from error
 
 
-def list_entries(
+def make_reset_entries(
     region: ids.RegionName, rows: Sequence[wire.RecordRow]
 ) -> Iterator[JournalEntry]:
-    """Yield entries that replace a region's table by the rows."""
+    """Yield entries that replace a region's table with the rows."""
     yield JournalEntry(region, True, 0, [])
-    for start in range(0, len(rows), REWRITE_BATCH):
-        batch = rows[start : start + REWRITE_BATCH]
+    for start in range(0, len(rows), REWRITE_BATCH_ROWS):
+        batch = rows[start : start + REWRITE_BATCH_ROWS]
         writes = [wire.RecordWrite(row.key, row) for row in batch]
         yield JournalEntry(region, False, 0, writes)
 
@@ -170,13 +170,15 @@
     if entry.drop_below:
         table.drop_below(entry.drop_below)
     for write in entry.writes:
-        # Minus infinity ends the time of every pending claim.
+        # This puts the deadline of every pending claim in the past.
         table.apply(float('-inf'), write)
 
 
 def _make_frame(entries: Sequence[JournalEntry]) -> bytes:
     payload = msgspec.msgpack.encode(entries)
-    header = HEADER.pack(MAGIC, len(payload), _compute_checksum(payload))
+    header = FRAME_HEADER.pack(
+        FRAME_MAGIC, len(payload), _compute_checksum(payload)
+    )
     return header + payload
 
 
@@ -186,44 +188,44 @@
 
 
 def _read_frames(path: pathlib.Path, data: bytes) -> Iterator[_Frame]:
-    """Yield each frame up to a torn tail."""
+    """Yield each frame up to an incomplete one at the end."""
     offset = 0
     while offset < len(data):
         payload = _read_frame(data, offset)
         if payload is None:
-            if _has_frame_after(data, offset):
-                raise _describe_damage(path, offset)
+            if _has_whole_frame_after(data, offset):
+                raise _make_damage_error(path, offset)
             return
-        offset += HEADER.size + len(payload)
+        offset += FRAME_HEADER.size + len(payload)
         try:
             entries = _decoder.decode(payload)
         except msgspec.MsgspecError as error:
-            raise _describe_damage(path, offset) from error
+            raise _make_damage_error(path, offset) from error
         yield _Frame(offset, entries)
 
 
 def _read_frame(data: bytes, offset: int) -> bytes | None:
-    if len(data) - offset < HEADER.size:
+    if len(data) - offset < FRAME_HEADER.size:
         return None
-    magic, length, checksum = HEADER.unpack_from(data, offset)
-    start = offset + HEADER.size
-    # A zeroed header would otherwise pass as a frame without entries.
-    if magic != MAGIC or not 0 < length <= len(data) - start:
+    magic, length, checksum = FRAME_HEADER.unpack_from(data, offset)
+    start = offset + FRAME_HEADER.size
+    # The length check keeps a zeroed header from passing as an empty frame.
+    if magic != FRAME_MAGIC or not 0 < length <= len(data) - start:
         return None
     payload = data[start : start + length]
     return payload if _compute_checksum(payload) == checksum else None
 
 
-def _has_frame_after(data: bytes, offset: int) -> bool:
-    later = data.find(MAGIC, offset + 1)
+def _has_whole_frame_after(data: bytes, offset: int) -> bool:
+    later = data.find(FRAME_MAGIC, offset + 1)
     while later >= 0:
         if _read_frame(data, later) is not None:
             return True
-        later = data.find(MAGIC, later + 1)
+        later = data.find(FRAME_MAGIC, later + 1)
     return False
 
 
-def _describe_damage(
+def _make_damage_error(
     path: pathlib.Path, offset: int
 ) -> errors.DamagedDataError:
     return errors.DamagedDataError(
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of record table, replication, holder and journal."""
+"""Tests of the record table and its replication."""
 
 import unittest
 from unittest import mock
@@ -10,7 +10,11 @@
 
 
 class TableTest(unittest.TestCase):
-    """Guards against a second FRESH and against lost answers."""
+    """Guards against a second FRESH verdict and against lost answers.
+
+    A second FRESH lets a request run twice; it comes from late, repeated or
+    conflicting claims, releases and results.
+    """
 
     def setUp(self) -> None:
         self.table = records.RecordTable()
@@ -48,7 +52,7 @@
         self.assertEqual(wire.Verdict.DONE, decision.verdict)
         self.assertEqual(records_fixtures.ANSWER, decision.answer)
 
-    def test_late_answer_replaces_unknown_but_no_answer(self) -> None:
+    def test_late_answer_replaces_unknown_but_not_an_answer(self) -> None:
         self.claim(0.0, 'a')
         self.table.finish(0.1, records_fixtures.make_finish(answer=None))
         self.assertEqual(wire.Verdict.UNKNOWN, self.claim(0.2, 'b'))
@@ -88,12 +92,12 @@
         )
         self.assertEqual(wire.Verdict.IN_PROGRESS, self.claim(0.4, 'd'))
 
-    def test_late_claim_after_its_release_takes_no_hold(self) -> None:
+    def test_late_claim_after_its_release_does_not_block_the_key(self) -> None:
         self.table.release(0.0, records_fixtures.make_release('a'))
         self.assertEqual(wire.Verdict.UNKNOWN, self.claim(0.1, 'a'))
         self.assertEqual(wire.Verdict.FRESH, self.claim(0.2, 'b'))
 
-    def test_late_release_deletes_no_outcome(self) -> None:
+    def test_late_release_keeps_the_outcome(self) -> None:
         for answer in (records_fixtures.ANSWER, None):
             table = records.RecordTable()
             table.claim(
@@ -114,7 +118,7 @@
         verdict = self.claim(0.0, key='r.3.random-0001')
         self.assertEqual(wire.Verdict.FRESH, verdict)
 
-    def test_of_a_lost_generation_only_answers_count(self) -> None:
+    def test_lost_generation_returns_stored_answers_only(self) -> None:
         self.claim(0.0, 'a')
         lost = records_fixtures.make_group(generation=9, lost_before=9)
         for fingerprint in ('other', 'f'):
@@ -152,9 +156,9 @@
         self.assertEqual(wire.Verdict.DONE, decision.verdict)
         self.assertEqual(wire.StoredAnswer(200, [], None), decision.answer)
 
-    def test_oldest_bodies_give_way_when_memory_is_full(self) -> None:
+    def test_oldest_bodies_are_evicted_beyond_the_limit(self) -> None:
         keys = [f'r.5.random-{number:04d}' for number in range(3)]
-        with mock.patch.object(_table, 'KEPT_BYTES_TOTAL', 8):
+        with mock.patch.object(_table, 'MAX_TOTAL_BODY_BYTES', 8):
             for key in keys:
                 self.claim(0.0, 'a', key=key)
                 finish = wire.RecordFinish(
@@ -175,7 +179,7 @@
             bodies.append(answer.body)
         self.assertEqual([None, b'done', b'done'], bodies)
 
-    def test_malformed_keys_are_no_keys(self) -> None:
+    def test_malformed_keys_are_refused(self) -> None:
         for key in (
             '',
             'r.5',
@@ -188,13 +192,19 @@
 
 
 class ReplicationTest(unittest.TestCase):
-    """Guards against a backup that lacks or repeats a write."""
+    """Guards against a backup that misses a write or applies it twice.
+
+    Messages of the stream are lost, repeated and late, and the backup
+    restarts or changes with the generation.
+    """
 
     def setUp(self) -> None:
         self.table = records.RecordTable()
         stream = wire.RecordStream('e0', 1, 5)
-        self.outbox = records.Outbox(stream, lambda: self.table.rows(0.0))
-        self.inbox = records.Inbox()
+        self.sender = records.StreamSender(
+            stream, lambda: self.table.rows(0.0)
+        )
+        self.receiver = records.StreamReceiver()
         self.copy: dict[str, wire.RecordRow] = {}
 
     def write(self, key: str, attempt: str | None) -> None:
@@ -203,26 +213,26 @@
             row = wire.RecordRow(key, 'f', attempt, wire.RecordState.UNKNOWN)
         write = wire.RecordWrite(key, row)
         self.table.apply(0.0, write)
-        self.outbox.add(write)
+        self.sender.append(write)
 
     def deliver(
         self, message: wire.RecordReplicate | wire.RecordChunk
     ) -> wire.RecordProgress:
-        intake = self.inbox.take(message)
-        if intake.rows is not None:
-            self.copy = {row.key: row for row in intake.rows}
-        for write in intake.writes:
+        received = self.receiver.receive(message)
+        if received.rows is not None:
+            self.copy = {row.key: row for row in received.rows}
+        for write in received.writes:
             self.copy.pop(write.key, None)
             if write.row is not None:
                 self.copy[write.key] = write.row
-        return intake.progress
+        return received.progress
 
     def pump(self) -> list[wire.RecordReplicate | wire.RecordChunk]:
         sent = []
-        while self.outbox.has_work():
-            message = self.outbox.next_message()
+        while self.sender.has_pending():
+            message = self.sender.next_message()
             sent.append(message)
-            self.outbox.take_progress(message, self.deliver(message))
+            self.sender.handle_progress(message, self.deliver(message))
         return sent
 
     def assert_equal_tables(self) -> None:
@@ -232,20 +242,20 @@
     def test_new_backup_gets_a_full_copy_in_parts(self) -> None:
         for number in range(1_200):
             self.write(f'k{number}', 'a')
-        self.outbox.start_generation(records_fixtures.GROUP)
-        first = self.outbox.next_message()
+        self.sender.start_generation(records_fixtures.GROUP)
+        first = self.sender.next_message()
         progress = self.deliver(first)
         self.assertIsNone(progress.applied)
-        self.assertFalse(self.inbox.has_copy(5))
-        self.outbox.take_progress(first, progress)
+        self.assertFalse(self.receiver.has_full_copy(5))
+        self.sender.handle_progress(first, progress)
         self.write('late', 'b')
         self.write('k0', None)
         self.assertEqual(3, len(self.pump()))
-        self.assertTrue(self.inbox.has_copy(5))
+        self.assertTrue(self.receiver.has_full_copy(5))
         self.assert_equal_tables()
 
     def test_late_repeats_change_nothing(self) -> None:
-        self.outbox.start_generation(records_fixtures.GROUP)
+        self.sender.start_generation(records_fixtures.GROUP)
         self.write('k', 'a')
         sent = self.pump()
         self.write('k', None)
@@ -257,46 +267,46 @@
             self.assert_equal_tables()
 
     def test_missing_writes_lead_to_a_new_copy(self) -> None:
-        self.outbox.start_generation(records_fixtures.GROUP)
+        self.sender.start_generation(records_fixtures.GROUP)
         self.write('k', 'a')
         self.pump()
-        self.inbox.applied = 0
+        self.receiver.applied = 0
         self.copy = {}
         self.write('l', 'a')
         self.pump()
         self.assert_equal_tables()
 
     def test_restarted_backup_gets_a_new_copy(self) -> None:
-        self.outbox.start_generation(records_fixtures.GROUP)
+        self.sender.start_generation(records_fixtures.GROUP)
         self.write('k', 'a')
         self.pump()
-        self.inbox = records.Inbox()
+        self.receiver = records.StreamReceiver()
         self.copy = {}
-        self.outbox.start_generation(
+        self.sender.start_generation(
             records_fixtures.make_group(generation=6, backup_incarnation=2)
         )
-        self.assertEqual(-1, self.outbox.acked)
+        self.assertEqual(-1, self.sender.acked_number)
         self.pump()
         self.assert_equal_tables()
 
-    def test_same_backup_goes_on_but_confirms_the_generation(self) -> None:
-        self.outbox.start_generation(records_fixtures.GROUP)
+    def test_same_backup_continues_but_confirms_the_generation(self) -> None:
+        self.sender.start_generation(records_fixtures.GROUP)
         self.write('k', 'a')
         self.pump()
-        self.outbox.start_generation(records_fixtures.make_group(generation=6))
-        self.assertEqual(-1, self.outbox.acked)
-        self.assertFalse(self.inbox.has_copy(6))
+        self.sender.start_generation(records_fixtures.make_group(generation=6))
+        self.assertEqual(-1, self.sender.acked_number)
+        self.assertFalse(self.receiver.has_full_copy(6))
         sent = self.pump()
         self.assertIsInstance(sent[0], wire.RecordReplicate)
-        self.assertEqual(1, self.outbox.acked)
-        self.assertTrue(self.inbox.has_copy(6))
+        self.assertEqual(1, self.sender.acked_number)
+        self.assertTrue(self.receiver.has_full_copy(6))
 
     def test_parts_of_an_older_copy_are_ignored(self) -> None:
         self.write('k', 'a')
-        self.outbox.start_generation(records_fixtures.GROUP)
-        old = self.outbox.next_message()
+        self.sender.start_generation(records_fixtures.GROUP)
+        old = self.sender.next_message()
         self.write('k', 'b')
-        self.outbox.start_generation(
+        self.sender.start_generation(
             records_fixtures.make_group(generation=6, backup_incarnation=2)
         )
         self.pump()
@@ -306,27 +316,27 @@
     def test_part_of_an_older_copy_does_not_enter_a_newer_one(self) -> None:
         for number in range(1_200):
             self.write(f'k{number}', 'a')
-        self.outbox.start_generation(records_fixtures.GROUP)
-        first = self.outbox.next_message()
-        self.outbox.take_progress(first, self.deliver(first))
-        old = self.outbox.next_message()
+        self.sender.start_generation(records_fixtures.GROUP)
+        first = self.sender.next_message()
+        self.sender.handle_progress(first, self.deliver(first))
+        old = self.sender.next_message()
         for number in range(1_200):
             self.write(f'k{number}', 'b')
-        self.outbox.start_generation(
+        self.sender.start_generation(
             records_fixtures.make_group(generation=6, backup_incarnation=2)
         )
-        first = self.outbox.next_message()
-        self.outbox.take_progress(first, self.deliver(first))
+        first = self.sender.next_message()
+        self.sender.handle_progress(first, self.deliver(first))
         self.deliver(old)
         self.pump()
         self.assert_equal_tables()
 
     def test_answer_of_an_older_generation_confirms_nothing(self) -> None:
-        self.outbox.start_generation(records_fixtures.GROUP)
+        self.sender.start_generation(records_fixtures.GROUP)
         self.write('k', 'a')
-        message = self.outbox.next_message()
-        self.outbox.start_generation(
+        message = self.sender.next_message()
+        self.sender.start_generation(
             records_fixtures.make_group(generation=6, backup_incarnation=2)
         )
-        self.outbox.take_progress(message, wire.RecordProgress(applied=1))
-        self.assertEqual(-1, self.outbox.acked)
+        self.sender.handle_progress(message, wire.RecordProgress(applied=1))
+        self.assertEqual(-1, self.sender.acked_number)
--- a/tests/test_records_holder.py
+++ b/tests/test_records_holder.py
@@ -1,4 +1,4 @@
-"""Tests of the holders of at-most-once records and their journal."""
+"""Tests of the records service, its client and its journal."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -39,13 +39,17 @@
         return wire.decode(wire.encode(answer))
 
 
-class HolderTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against answers of a holder that must not answer."""
+class ServerTest(unittest.IsolatedAsyncioTestCase):
+    """Guards against two replicas that both let a request run.
+
+    That happens when a replica answers without being the primary in force,
+    without its lease or without the backup.
+    """
 
     async def asyncSetUp(self) -> None:
         self.group = records_fixtures.GROUP
         self.current = {'e0': True, 'e1': True}
-        self.holders = {
+        self.servers = {
             name: records.RecordServer(
                 name,
                 1,
@@ -57,32 +61,32 @@
             for name in ('e0', 'e1')
         }
         self.peers = {
-            name: Peer(holder.handle) for name, holder in self.holders.items()
+            name: Peer(server.handle) for name, server in self.servers.items()
         }
-        for holder in self.holders.values():
-            await self.enterAsyncContext(holder)
-            holder.update_groups([records_fixtures.GROUP])
+        for server in self.servers.values():
+            await self.enterAsyncContext(server)
+            server.update_groups([records_fixtures.GROUP])
 
     async def refuse(self, name: str, message: wire.Message) -> None:
         with self.assertRaises(errors.FulmarseamError) as caught:
-            await self.holders[name].handle(message)
+            await self.servers[name].handle(message)
         kind = caught.exception.kind
         self.assertEqual(errors.ErrorKind.RECORD_UNAVAILABLE, kind)
 
     def change_group(self, **fields: object) -> None:
         self.group = records_fixtures.make_group(**fields)
-        for holder in self.holders.values():
-            holder.update_groups([self.group])
+        for server in self.servers.values():
+            server.update_groups([self.group])
 
-    async def test_claim_is_at_the_backup_when_it_is_answered(self) -> None:
-        answer = await self.holders['e0'].handle(records_fixtures.make_claim())
+    async def test_claim_is_at_the_backup_before_it_is_answered(self) -> None:
+        answer = await self.servers['e0'].handle(records_fixtures.make_claim())
         self.assertEqual(
             wire.RecordVerdict(verdict=wire.Verdict.FRESH), answer
         )
         self.change_group(
             generation=6, primary='e1', backup='e0', backup_ready=True
         )
-        answer = await self.holders['e1'].handle(
+        answer = await self.servers['e1'].handle(
             records_fixtures.make_claim('b')
         )
         self.assertEqual(
@@ -104,15 +108,15 @@
         self.current = {'e0': True, 'e1': False}
         await self.refuse('e0', records_fixtures.make_claim('b'))
 
-    async def test_only_the_primary_of_the_row_answers(self) -> None:
+    async def test_only_the_primary_of_the_group_answers(self) -> None:
         await self.refuse('e1', records_fixtures.make_claim())
-        await self.holders['e0'].handle(records_fixtures.make_claim())
-        await self.holders['e0'].handle(records_fixtures.make_finish())
+        await self.servers['e0'].handle(records_fixtures.make_claim())
+        await self.servers['e0'].handle(records_fixtures.make_finish())
         self.change_group(generation=6, primary_incarnation=2)
-        # The stored answer would need no call of the backup.
+        # Returning the stored answer would not involve the backup.
         await self.refuse('e0', records_fixtures.make_claim('b'))
 
-    async def test_row_that_is_not_in_force_yet_is_waited_for(self) -> None:
+    async def test_group_that_is_not_in_force_yet_is_refused(self) -> None:
         self.group = records_fixtures.make_group(generation=6)
         await self.refuse('e0', records_fixtures.make_claim())
 
@@ -158,7 +162,7 @@
         await self.refuse('e1', message)
 
     async def test_claim_released_while_it_waits_is_not_fresh(self) -> None:
-        await self.holders['e0'].handle(
+        await self.servers['e0'].handle(
             records_fixtures.make_claim('z', 'r.5.random-0009')
         )
         handle = self.peers['e1'].handle
@@ -172,11 +176,11 @@
 
         self.peers['e1'].handle = wait_and_handle
         claim = asyncio.create_task(
-            self.holders['e0'].handle(records_fixtures.make_claim())
+            self.servers['e0'].handle(records_fixtures.make_claim())
         )
         await asyncio.sleep(0)
         release = asyncio.create_task(
-            self.holders['e0'].handle(records_fixtures.make_release())
+            self.servers['e0'].handle(records_fixtures.make_release())
         )
         await asyncio.sleep(0)
         gate.set()
@@ -185,19 +189,19 @@
         assert isinstance(answer, wire.RecordVerdict)
         self.assertIsNot(wire.Verdict.FRESH, answer.verdict)
 
-    async def test_answers_outlive_the_loss_of_both_holders(self) -> None:
-        await self.holders['e0'].handle(records_fixtures.make_claim())
-        await self.holders['e0'].handle(records_fixtures.make_finish())
+    async def test_answers_outlive_the_loss_of_both_replicas(self) -> None:
+        await self.servers['e0'].handle(records_fixtures.make_claim())
+        await self.servers['e0'].handle(records_fixtures.make_finish())
         self.change_group(generation=7, lost_before=7)
-        answer = await self.holders['e0'].handle(
+        answer = await self.servers['e0'].handle(
             records_fixtures.make_claim('b')
         )
         assert isinstance(answer, wire.RecordVerdict)
         self.assertEqual(records_fixtures.ANSWER, answer.answer)
 
     async def test_copies_are_listed_by_the_backup_only(self) -> None:
-        await self.holders['e0'].handle(records_fixtures.make_claim())
-        copies = [h.list_copies() for h in self.holders.values()]
+        await self.servers['e0'].handle(records_fixtures.make_claim())
+        copies = [server.list_copies() for server in self.servers.values()]
         copy = wire.RecordCopy(region='r', generation=5)
         self.assertEqual([[], [copy]], copies)
 
@@ -208,7 +212,7 @@
             'e1',
             lambda region: self.group if region == 'r' else None,
             lambda entry: self.peers.get(entry),
-            self.holders['e1'].handle,
+            self.servers['e1'].handle,
         )
         verdict = await client.claim(records_fixtures.KEY, 'f', 'a', 5.0)
         self.assertIs(wire.Verdict.FRESH, verdict.verdict)
@@ -226,13 +230,16 @@
 def sync_after(
     gate: threading.Event, sync: Callable[[int], None], file: int
 ) -> None:
-    """Sync a file once the gate is open."""
+    """Sync a file once the gate is set."""
     gate.wait(5.0)
     sync(file)
 
 
 class JournalTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against lost, damaged and reordered journal entries."""
+    """Guards against lost, damaged and reordered journal entries.
+
+    They come from a crash during a write, a failed sync or a damaged file.
+    """
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -346,25 +353,25 @@
         self.assertEqual(['0002'], self.read())
 
     async def start_pair(self, name: str) -> records.RecordServer:
-        """Return holder e0; only `name` of e0 and e1 has a journal."""
-        holders: dict[str, records.RecordServer] = {}
+        """Return the server of e0; of e0 and e1 only `name` has a journal."""
+        servers: dict[str, records.RecordServer] = {}
         for entry in ('e0', 'e1'):
-            holders[entry] = records.RecordServer(
+            servers[entry] = records.RecordServer(
                 entry,
                 1,
                 lambda region: records_fixtures.GROUP,
                 lambda: True,
-                lambda other: Peer(holders[other].handle),
+                lambda other: Peer(servers[other].handle),
                 self.directory if entry == name else None,
             )
-            await self.enterAsyncContext(holders[entry])
-            holders[entry].update_groups([records_fixtures.GROUP])
-        return holders['e0']
+            await self.enterAsyncContext(servers[entry])
+            servers[entry].update_groups([records_fixtures.GROUP])
+        return servers['e0']
 
     async def test_answer_waits_for_the_sync(self) -> None:
         for name in ('e0', 'e1'):
             with self.subTest(journal_at=name):
-                holder = await self.start_pair(name)
+                server = await self.start_pair(name)
                 gate = threading.Event()
                 wait_and_sync = functools.partial(
                     sync_after, gate, os.fdatasync
@@ -373,7 +380,7 @@
                     name, f'r.5.random-{name}-01'
                 )
                 with mock.patch.object(os, 'fdatasync', wait_and_sync):
-                    call = asyncio.create_task(holder.handle(claim))
+                    call = asyncio.create_task(server.handle(claim))
                     done, _ = await asyncio.wait({call}, timeout=0.2)
                     gate.set()
                     self.assertEqual(set(), done)
@@ -381,12 +388,12 @@
                 fresh = wire.RecordVerdict(verdict=wire.Verdict.FRESH)
                 self.assertEqual(fresh, answer)
 
-    async def test_failed_sync_stops_the_holder(self) -> None:
-        holder = await self.start_pair('e0')
+    async def test_failed_sync_stops_the_server(self) -> None:
+        server = await self.start_pair('e0')
         failure = OSError(errno.EIO, 'input/output error')
         with mock.patch.object(os, 'fdatasync', side_effect=failure):
             with self.assertRaises(records.JournalFailedError):
-                await holder.handle(records_fixtures.make_claim())
-        self.assertTrue(holder.failed.done())
+                await server.handle(records_fixtures.make_claim())
+        self.assertTrue(server.failed.done())
         with self.assertRaises(records.JournalFailedError):
-            await holder.handle(records_fixtures.make_claim('b'))
+            await server.handle(records_fixtures.make_claim('b'))
--- a/tests/test_records_model.py
+++ b/tests/test_records_model.py
@@ -1,7 +1,7 @@
 """Model test of the record protocol on a simulated network and clock.
 
-Real holders and clients run on an event loop whose clock jumps from event
-to event. Messages are lost, late and duplicated; processes are killed,
+Real servers and clients run on an event loop whose clock jumps from event to
+event. Messages are lost, delayed and duplicated; processes are killed,
 restarted empty and cut off in one or both directions. No key may run twice.
 """
 
@@ -20,31 +20,31 @@
 from fulmarseam.control import _groups
 
 REGION = 'r'
-DOMAINS = {'e0': 'r1', 'e1': 'r2', 'e2': 'r1', 'e3': 'r2'}
-LEASE_S = 3.0 * 0.99
-SYNC_S = 0.4
-RUN_S = 90.0
-KEYS = 40
+ENTRY_DOMAINS = {'e0': 'r1', 'e1': 'r2', 'e2': 'r1', 'e3': 'r2'}
+CONFIG_LEASE_S = 3.0 * 0.99
+SYNC_INTERVAL_S = 0.4
+RUN_DURATION_S = 90.0
+KEY_COUNT = 40
 
 
-class JumpSelector(selectors.SelectSelector):
-    """Advances the loop's clock in place of waiting."""
+class SimulatedSelector(selectors.SelectSelector):
+    """Advances the loop's clock instead of waiting."""
 
-    loop: 'JumpLoop'
+    loop: 'SimulatedLoop'
 
     def select(self, timeout: float | None = None) -> Any:
         if timeout is None:
-            raise AssertionError('nothing is scheduled any more')
+            raise AssertionError('the event loop has nothing scheduled')
         self.loop.now += timeout
         return super().select(0)
 
 
-class JumpLoop(asyncio.SelectorEventLoop):
+class SimulatedLoop(asyncio.SelectorEventLoop):
     """An event loop with a clock of its own."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        selector = JumpSelector()
+        selector = SimulatedSelector()
         selector.loop = self
         super().__init__(selector)
 
@@ -53,20 +53,20 @@
 
 
 class Process:
-    """An entry process: holder, client and its view of the group."""
+    """An entry process: records server, client and view of the group."""
 
     def __init__(self, world: 'World', name: str, incarnation: int) -> None:
         self.world = world
         self.name = name
         self.incarnation = incarnation
         self.alive = True
-        self.hears = True
-        self.speaks = True
-        self.has_control = True
+        self.can_receive = True
+        self.can_send = True
+        self.reaches_control = True
         self.group: wire.RecordGroup | None = None
         self.revision = -1
         self.confirmed_at = -100.0
-        self.holder = records.RecordServer(
+        self.server = records.RecordServer(
             name,
             incarnation,
             self.find_group,
@@ -75,7 +75,7 @@
             None,
         )
         self.client = records.RecordClient(
-            name, self.find_group, self.find_client, self.holder.handle
+            name, self.find_group, self.find_client, self.server.handle
         )
         self.tasks = [asyncio.create_task(self.sync())]
 
@@ -84,36 +84,36 @@
 
     def is_current(self) -> bool:
         now = asyncio.get_running_loop().time()
-        return self.alive and now - self.confirmed_at < LEASE_S
+        return self.alive and now - self.confirmed_at < CONFIG_LEASE_S
 
-    def find_client(self, entry: str) -> 'Line':
-        return Line(self, entry)
+    def find_client(self, entry: str) -> 'SimulatedClient':
+        return SimulatedClient(self, entry)
 
     def kill(self) -> None:
         self.alive = False
         for task in self.tasks:
             task.cancel()
-        for region in self.holder._regions.values():
-            region.resign()
+        for region in self.server._regions.values():
+            region.step_down()
 
     async def sync(self) -> None:
         while True:
             sent_at = asyncio.get_running_loop().time()
-            copies = self.holder.list_copies()
+            copies = self.server.list_copies()
             await asyncio.sleep(self.world.delay())
-            if self.speaks and self.has_control:
+            if self.can_send and self.reaches_control:
                 revision, group = self.world.control.report(self, copies)
                 await asyncio.sleep(self.world.delay())
-                if self.hears and self.has_control:
+                if self.can_receive and self.reaches_control:
                     self.confirmed_at = sent_at
                     if revision > self.revision:
                         self.revision, self.group = revision, group
-                        self.holder.update_groups([group] if group else [])
-            await asyncio.sleep(SYNC_S)
+                        self.server.update_groups([group] if group else [])
+            await asyncio.sleep(SYNC_INTERVAL_S)
 
 
-class Line:
-    """Calls from one process to another over a bad network."""
+class SimulatedClient:
+    """Calls from one process to another over an unreliable network."""
 
     def __init__(self, source: Process, entry: str) -> None:
         self.source = source
@@ -131,13 +131,17 @@
 
     async def exchange(self, data: bytes) -> wire.Message:
         world = self.source.world
-        if world.chance(0.05):
-            # The same request arrives once more, maybe much later.
+        if world.should_fail(0.05):
+            # The same request arrives once more, up to 6 s later.
             world.spawn(self.deliver(data, world.rng.uniform(0.0, 6.0)))
-        lost = world.chance(0.03)
+        lost = world.should_fail(0.03)
         answer = await self.deliver(data, world.delay(), lost)
         await asyncio.sleep(world.delay())
-        if answer is None or world.chance(0.03) or not self.source.hears:
+        if (
+            answer is None
+            or world.should_fail(0.03)
+            or not self.source.can_receive
+        ):
             await asyncio.sleep(1_000.0)
         assert answer is not None
         return wire.decode(answer)
@@ -145,23 +149,23 @@
     async def deliver(
         self, data: bytes, delay_s: float, lost: bool = False
     ) -> bytes | None:
-        can_leave = self.source.speaks
+        can_leave = self.source.can_send
         await asyncio.sleep(delay_s)
         target = self.source.world.processes[self.entry]
-        if lost or not (can_leave and target.alive and target.hears):
+        if lost or not (can_leave and target.alive and target.can_receive):
             return None
         try:
-            answer = await target.holder.handle(wire.decode(data))
+            answer = await target.server.handle(wire.decode(data))
         except errors.FulmarseamError as error:
             answer = wire.Failure(error.kind.value, error.detail)
-        if not (target.alive and target.speaks):
+        if not (target.alive and target.can_send):
             return None
         assert answer is not None
         return wire.encode(answer)
 
 
 class Control:
-    """The control leader: repairs the group by the real rules."""
+    """The control leader; repairs the group with the real planner."""
 
     def __init__(self, world: 'World') -> None:
         self.world = world
@@ -178,7 +182,7 @@
                 entry=process.name,
                 incarnation=process.incarnation,
                 region=REGION,
-                failure_domain=DOMAINS[process.name],
+                failure_domain=ENTRY_DOMAINS[process.name],
                 listen='',
                 api='',
                 rpc='',
@@ -229,26 +233,26 @@
 
 
 class World:
-    """All processes, the callers and what ran."""
+    """All processes, the callers and the requests that ran."""
 
     def __init__(self, seed: int, faults: bool) -> None:
         self.rng = random.Random(seed)
         self.faults = faults
-        self.is_harsh = seed % 2 == 0
+        self.has_heavy_faults = seed % 2 == 0
         self.processes: dict[str, Process] = {}
         self.control = Control(self)
         self.background: set[asyncio.Task[Any]] = set()
         self.runs: collections.Counter[str] = collections.Counter()
         self.answers: dict[str, bytes] = {}
         self.verdicts: collections.Counter[str] = collections.Counter()
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.attempts = 0
 
-    def chance(self, share: float) -> bool:
+    def should_fail(self, share: float) -> bool:
         return self.faults and self.rng.random() < share
 
     def delay(self) -> float:
-        if self.chance(0.02):
+        if self.should_fail(0.02):
             return self.rng.uniform(0.0, 2.0)
         return self.rng.uniform(0.0002, 0.002)
 
@@ -257,16 +261,16 @@
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
-    async def play(self) -> None:
-        for name in DOMAINS:
+    async def run(self) -> None:
+        for name in ENTRY_DOMAINS:
             self.processes[name] = Process(self, name, 1)
         self.spawn(self.control.run())
         await asyncio.sleep(2.0)
         if self.faults:
-            self.spawn(self.break_things())
+            self.spawn(self.inject_faults())
         callers = [
-            asyncio.create_task(self.call_often(number))
-            for number in range(KEYS)
+            asyncio.create_task(self.repeat_request(number))
+            for number in range(KEY_COUNT)
         ]
         await asyncio.gather(*callers)
         for process in self.processes.values():
@@ -276,17 +280,17 @@
         await asyncio.gather(*self.background, return_exceptions=True)
 
     def choose_victims(self) -> list[Process]:
-        """Return one or two processes, mostly record holders."""
-        names = sorted(DOMAINS)
+        """Return one or two processes, mostly replicas of the group."""
+        names = sorted(ENTRY_DOMAINS)
         group = self.control.group
         if group is not None and self.rng.random() < 0.8:
             names = [group.primary, group.backup or group.primary]
-        count = self.rng.choice([1, 1, 2]) if self.is_harsh else 1
+        count = self.rng.choice([1, 1, 2]) if self.has_heavy_faults else 1
         return [self.processes[name] for name in {*names[:2]}][:count]
 
-    async def break_things(self) -> None:
+    async def inject_faults(self) -> None:
         while True:
-            pause_s = 6.0 if self.is_harsh else 12.0
+            pause_s = 6.0 if self.has_heavy_faults else 12.0
             await asyncio.sleep(self.rng.uniform(0.2, pause_s))
             victims = self.choose_victims()
             kind = self.rng.choice(['kill', 'cut', 'control'])
@@ -294,31 +298,33 @@
                 if kind == 'kill':
                     process.kill()
                 elif kind == 'cut':
-                    process.hears = self.rng.random() < 0.5
-                    process.speaks = (
-                        not process.hears and self.rng.random() < 0.5
+                    process.can_receive = self.rng.random() < 0.5
+                    process.can_send = (
+                        not process.can_receive and self.rng.random() < 0.5
                     )
                 else:
-                    process.has_control = False
+                    process.reaches_control = False
             await asyncio.sleep(self.rng.choice([0.1, 1.0, 4.0, 9.0]))
             for process in victims:
                 if kind == 'kill':
                     self.processes[process.name] = Process(
                         self, process.name, process.incarnation + 1
                     )
-                process.hears = process.speaks = process.has_control = True
+                process.can_receive = process.can_send = (
+                    process.reaches_control
+                ) = True
 
-    async def call_often(self, number: int) -> None:
+    async def repeat_request(self, number: int) -> None:
         """Repeat one request through any entries, as a caller would."""
-        await asyncio.sleep(self.rng.uniform(0.0, RUN_S / 2))
+        await asyncio.sleep(self.rng.uniform(0.0, RUN_DURATION_S / 2))
         group = self.control.group
         assert group is not None
         key = f'{REGION}.{group.generation}.random-{number:04d}'
         for _ in range(self.rng.randint(3, 8)):
-            process = self.processes[self.rng.choice(sorted(DOMAINS))]
-            call = asyncio.create_task(self.call_once(process, key))
+            process = self.processes[self.rng.choice(sorted(ENTRY_DOMAINS))]
+            call = asyncio.create_task(self.run_request(process, key))
             process.tasks.append(call)
-            # A caller may give up early and try elsewhere.
+            # A caller may give up early and try another entry.
             patience_s = self.rng.choice([0.002, 0.05, 10.0, 10.0])
             await asyncio.wait({call}, timeout=patience_s)
             if call.done() and not call.cancelled():
@@ -326,8 +332,8 @@
             pause_s = self.rng.choice([0.0, 0.05, 1.0, 4.0, 8.0, 20.0])
             await asyncio.sleep(pause_s)
 
-    async def call_once(self, process: Process, key: str) -> None:
-        """Do what an entry does with a request."""
+    async def run_request(self, process: Process, key: str) -> None:
+        """Claim, run and finish a request as an entry does."""
         if not process.is_current():
             return
         self.attempts += 1
@@ -340,72 +346,76 @@
             verdict = await client.claim(key, 'content', attempt, timeout_s)
         except errors.FulmarseamError:
             self.verdicts['unavailable'] += 1
-            await self.end(client.release(key, attempt))
+            await self.finish_quietly(client.release(key, attempt))
             return
         self.verdicts[verdict.verdict.value] += 1
         if verdict.verdict is wire.Verdict.DONE:
             assert verdict.answer is not None
             if verdict.answer.body != self.answers.get(key):
-                self.wrong.append(f'{key}: answer of another attempt')
+                self.violations.append(f'{key}: answer of another attempt')
         if verdict.verdict is not wire.Verdict.FRESH:
             return
         await asyncio.sleep(self.rng.choice([0.0, 0.01, 0.2]))
         if loop.time() >= deadline or self.rng.random() < 0.15:
-            await self.end(client.release(key, attempt))
+            await self.finish_quietly(client.release(key, attempt))
             return
         self.runs[key] += 1
         if self.runs[key] > 1:
-            self.wrong.append(f'{key}: ran twice')
+            self.violations.append(f'{key}: ran twice')
         await asyncio.sleep(self.rng.choice([0.0, 0.02, 1.0]))
-        if self.chance(0.1):
-            await self.end(client.finish(key, attempt, None))
+        if self.should_fail(0.1):
+            await self.finish_quietly(client.finish(key, attempt, None))
             return
         self.answers[key] = attempt.encode()
         answer = wire.StoredAnswer(200, [], attempt.encode())
-        await self.end(client.finish(key, attempt, answer))
+        await self.finish_quietly(client.finish(key, attempt, answer))
 
-    async def end(self, work: Any) -> None:
+    async def finish_quietly(self, work: Any) -> None:
         try:
             await work
         except errors.FulmarseamError:
             self.verdicts['end-lost'] += 1
 
 
-def play(seed: int, faults: bool = True) -> World:
-    """Return the world after one simulated run."""
-    loop = JumpLoop()
+def simulate(seed: int, faults: bool = True) -> World:
+    """Run one simulation and return its world."""
+    loop = SimulatedLoop()
     try:
         with asyncio.Runner(loop_factory=lambda: loop) as runner:
-            return runner.run(_play(seed, faults))
+            return runner.run(_simulate(seed, faults))
     finally:
         loop.close()
 
 
-async def _play(seed: int, faults: bool) -> World:
+async def _simulate(seed: int, faults: bool) -> World:
     world = World(seed, faults)
-    await world.play()
+    await world.run()
     return world
 
 
 class RecordProtocolTest(unittest.TestCase):
-    """Guards against a request that runs twice."""
+    """Guards against a request that runs twice.
+
+    That could follow a lost, late or repeated message, a killed or cut off
+    replica, or a change of the primary.
+    """
 
     def test_no_key_runs_twice_under_faults(self) -> None:
         total: collections.Counter[str] = collections.Counter()
         for seed in range(30):
             with self.subTest(seed=seed):
-                world = play(seed)
-                self.assertEqual([], world.wrong)
+                world = simulate(seed)
+                self.assertEqual([], world.violations)
                 total.update(world.verdicts)
                 total['runs'] += sum(world.runs.values())
-        # Without work done and repeats met, the check would be empty.
+        # The run must reach every verdict, or it would check nothing.
         self.assertGreater(total['runs'], 300)
         for name in ('done', 'in-progress', 'unknown', 'unavailable'):
             self.assertGreater(total[name], 10, name)
 
     def test_without_faults_every_key_runs_once(self) -> None:
-        world = play(7, faults=False)
-        self.assertEqual([], world.wrong)
+        world = simulate(7, faults=False)
+        self.assertEqual([], world.violations)
         self.assertEqual(0, world.verdicts['unavailable'])
-        self.assertGreater(len(world.runs), 0.8 * KEYS)
+        self.assertGreater(len(world.runs), 0.8 * KEY_COUNT)
         self.assertEqual({1}, set(world.runs.values()))
