--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -59,10 +59,10 @@
         self._seeds = options.list_peers()
         self._loop = asyncio.get_running_loop()
         self.catalog = catalog.Catalog()
-        self.presence = catalog.Presence()
+        self.entry_registry = catalog.EntryRegistry()
         self.metrics = telemetry.Metrics()
-        self._heartbeats = catalog.HeartbeatBook()
-        self._silences = catalog.Silences(
+        self._heartbeats = catalog.HeartbeatTracker()
+        self._silences = catalog.TargetLeases(
             MISSED_HEARTBEATS * options.heartbeat + HEARTBEAT_MARGIN_S
         )
         self._clients = transport.RpcClients()
@@ -78,7 +78,9 @@
         observe = self.metrics.observe
         observe('revision', lambda: self.catalog.revision)
         observe('targets', lambda: len(self.catalog.targets.all()))
-        observe('entries', lambda: self.presence.count_senders(self._now()))
+        observe(
+            'entries', lambda: self.entry_registry.count_senders(self._now())
+        )
         observe('leads', lambda: self.leads())
         observe('term', lambda: self._status_value('term'))
         observe('commit_index', lambda: self._status_value('commit_index'))
@@ -148,7 +150,9 @@
     async def _run_member(self) -> None:
         """Return when the group has removed this member."""
         options = self._options
-        member_id = consensus.assign_member_id(options.data_dir, options.host)
+        member_id = consensus.load_or_assign_member_id(
+            options.data_dir, options.host
+        )
         self.catalog.reset()
         member = consensus.Member(
             consensus.MemberSettings(
@@ -159,7 +163,7 @@
                 members={},
                 election_min_s=ELECTION_MIN_S,
                 election_max_s=ELECTION_MAX_S,
-                discovery=consensus.Discovery(
+                discovery=consensus.DiscoverySettings(
                     host=options.host,
                     seeds=self._seeds,
                     wanted_voters=options.wanted_voters,
@@ -177,7 +181,7 @@
 
     async def _wait_for_end(self, member: consensus.Member) -> None:
         failed = asyncio.ensure_future(member.wait_failed())
-        retired = asyncio.ensure_future(member.wait_retired())
+        retired = asyncio.ensure_future(member.wait_removed())
         try:
             await asyncio.wait(
                 (failed, retired), return_when=asyncio.FIRST_COMPLETED
@@ -196,7 +200,7 @@
             case wire.CatalogCommand(command=command):
                 return await self._propose(command)
             case wire.TargetRenewal(targets=targets):
-                self._silences.note(self._now(), targets)
+                self._silences.renew(self._now(), targets)
                 return wire.Ok()
             case wire.EntryPoll():
                 return self._answer_poll(message)
@@ -208,7 +212,7 @@
 
     def _answer_poll(self, poll: wire.EntryPoll) -> wire.EntryPollResponse:
         now = self._now()
-        if self.presence.note(now, poll):
+        if self.entry_registry.record_poll(now, poll):
             _log.info(
                 telemetry.format_event(
                     'entry_state',
@@ -227,14 +231,16 @@
             revision=self.catalog.revision,
             changes=changes,
             members=[info.address for info in members],
-            entry_count=self.presence.count_senders(now),
+            entry_count=self.entry_registry.count_senders(now),
         )
 
     def find_entries(
         self, region: ids.RegionName, domain: ids.DomainName, limit: int
     ) -> list[str]:
         """Return the addresses of the entries that a caller should use."""
-        return self.presence.find_entries(self._now(), region, domain, limit)
+        return self.entry_registry.find_entries(
+            self._now(), region, domain, limit
+        )
 
     # Orders
 
@@ -348,7 +354,7 @@
                 errors.ErrorKind.UNAVAILABLE, 'no leader is known'
             )
         known = self.catalog.targets.get(record.target)
-        is_change = self._heartbeats.note(self._now(), known, record)
+        is_change = self._heartbeats.record(self._now(), known, record)
         if not is_change or not self.catalog.targets.is_newer(record):
             return
         await self.submit(catalog.AnnounceTargets(records=[record]))
@@ -384,7 +390,7 @@
                 {info.address for info in status.members} if status else ()
             )
             if self.leads():
-                self._silences.note(self._now(), renewed)
+                self._silences.renew(self._now(), renewed)
                 await self._drop_silent()
                 continue
             self._silences.clear()
@@ -403,7 +409,7 @@
         known = {
             record.target: record for record in self.catalog.targets.all()
         }
-        silent = self._silences.find_silent(self._now(), known)
+        silent = self._silences.find_expired(self._now(), known)
         if not silent:
             return
         try:
--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -51,12 +51,12 @@
         self.stopping = asyncio.Event()
         self.metrics = telemetry.Metrics()
         self.state = _state.SharedState(options)
-        self.announcements = _announcements.AnnouncementBook()
+        self.announcements = _announcements.PendingAnnouncements()
         self.suspects = _suspects.Suspects()
         self.connections = http.TargetPools()
-        self.pools = _pools.PoolBook(
+        self.pools = _pools.Pools(
             self.state,
-            steering.Place(options.region, options.failure_domain),
+            steering.Locality(options.region, options.failure_domain),
             random.Random(),
             self._request_sync,
         )
@@ -112,7 +112,7 @@
         )
 
     def _make_caller_server(self, tracer: telemetry.Tracer) -> http.Server:
-        services = _proxying.Services(
+        dependencies = _proxying.Dependencies(
             state=self.state,
             pools=self.pools,
             connections=self.connections,
@@ -123,7 +123,7 @@
             tracer=tracer,
             region=self._options.region,
         )
-        self.proxy = _proxying.Proxy(services)
+        self.proxy = _proxying.Proxy(dependencies)
         return http.Server(
             self._options.listen,
             self.proxy.handle,
@@ -196,7 +196,7 @@
     def _limit_connections(self, now: float) -> None:
         self.connections.set_limits(
             {
-                row.report.address: self.state.book.connection_share(
+                row.report.address: self.state.slots.connection_share(
                     now, row.report.target
                 )
                 for row in self.state.targets.ready()
@@ -209,7 +209,7 @@
         observe('requests_running', lambda: self.callers.busy)
         observe('caller_connections', lambda: self.callers.connections)
         observe('targets_ready', lambda: len(self.state.targets.ready()))
-        observe('requests_in_flight', self.state.book.total_in_flight)
+        observe('requests_in_flight', self.state.slots.total_in_flight)
         observe('revision', lambda: self.state.tables.revision)
         observe('takes_work', lambda: self.state.is_current(self._loop.time()))
 
--- a/fulmarseam/gateway/_fleet.py
+++ b/fulmarseam/gateway/_fleet.py
@@ -39,7 +39,7 @@
 class _Pool:
     """The targets of one pool that may get new requests."""
 
-    def __init__(self, budget: steering.RepeatBudget) -> None:
+    def __init__(self, budget: steering.WindowedRetryBudget) -> None:
         self.budget = budget
         self.targets: list[steering.ObservedTarget] = []
         self._failure_rate = 0.0
@@ -49,7 +49,9 @@
         """Return the mean failure rate of the targets."""
         if now - self._rated_at >= RATE_INTERVAL_S:
             self._rated_at = now
-            self._failure_rate = steering.find_failure_rate(self.targets)
+            self._failure_rate = steering.compute_mean_failure_rate(
+                self.targets
+            )
         return self._failure_rate
 
 
@@ -61,11 +63,11 @@
     """
 
     def __init__(
-        self, options: settings.GatewaySettings, mirror: catalog.Mirror
+        self, options: settings.GatewaySettings, mirror: catalog.CatalogMirror
     ) -> None:
         self._options = options
         self._mirror = mirror
-        self._cold_bound = steering.ColdBound(
+        self._cold_bound = steering.ColdRateLimit(
             options.cold_factor, options.cold_slack
         )
         self._targets: dict[ids.TargetId, steering.ObservedTarget] = {}
@@ -91,7 +93,7 @@
         for observed in self._targets.values():
             if observed.record.failure_domain in ended:
                 # The targets may have lost their caches meanwhile.
-                steering.start_cold(observed, now, self._cold_s(observed))
+                steering.mark_cold(observed, now, self._cold_s(observed))
         self._group_targets()
 
     def _update_target(
@@ -108,14 +110,14 @@
             observed = steering.ObservedTarget(
                 record,
                 record.region != self._options.region,
-                phase=self._find_phase(target),
+                token_offset=self._find_phase(target),
                 tokens_at=now,
                 in_flight=observed.in_flight if observed else 0,
             )
             self._targets[target] = observed
         observed.record = record
         if record.cold_ms > 0.0:
-            steering.start_cold(observed, now, record.cold_ms / 1_000)
+            steering.mark_cold(observed, now, record.cold_ms / 1_000)
 
     def _find_phase(self, target: ids.TargetId) -> float:
         name = f'{self._options.host} {target}'.encode()
@@ -141,7 +143,7 @@
         if pool is None:
             options = self._options
             pool = self._pools[name] = _Pool(
-                steering.RepeatBudget(
+                steering.WindowedRetryBudget(
                     options.retry_ratio * REPEAT_SHARE_USED,
                     self._find_slack(),
                     options.retry_window,
@@ -187,7 +189,7 @@
 
     def take_repeat(self, now: float, pool_name: ids.PoolName) -> bool:
         """Count a repeat if the budget of the pool allows it."""
-        return self._get_pool(pool_name).budget.take(now)
+        return self._get_pool(pool_name).budget.try_acquire(now)
 
     def place(
         self,
@@ -197,7 +199,7 @@
         key: str | None,
         avoided: Collection[ids.TargetId],
         time_left_s: float,
-    ) -> steering.Placed:
+    ) -> steering.Placement:
         """Take a place on a target, or none when no target has room."""
         share = self._find_cold_share(pool_name)
         placed = steering.place_request(
@@ -207,7 +209,7 @@
                 for item in self._rank(now, route, pool_name, key)
                 if item.target not in avoided
             ),
-            lambda item: steering.may_take(item, now, share),
+            lambda item: steering.may_send(item, now, share),
             route.priority,
             time_left_s,
             CHOICES_PER_OBJECT if route.sticky and key is not None else None,
@@ -223,7 +225,9 @@
         pool = self._mirror.pools.get(pool_name)
         if pool is None or pool.cold_per_s <= 0.0:
             return float('inf')
-        return self._cold_bound.share(pool.cold_per_s, self.senders)
+        return self._cold_bound.compute_sender_rate(
+            pool.cold_per_s, self.senders
+        )
 
     def _rank(
         self,
@@ -261,7 +265,7 @@
             region = item.record.region
             slots[region] = slots.get(region, 0) + item.record.slots
         options = self._options
-        shares = steering.share_regions(
+        shares = steering.compute_region_shares(
             options.region, slots, len(set(options.domains.values()))
         )
         return {
@@ -308,7 +312,7 @@
     def fails_evenly(self, now: float, pool_name: ids.PoolName) -> bool:
         """Return whether a whole pool refuses or fails many requests."""
         rate = self._get_pool(pool_name).find_failure_rate(now)
-        return rate >= steering.DOUBTFUL_RATE
+        return rate >= steering.DOUBTFUL_FAILURE_RATE
 
     def _is_cut_off(self, now: float, pool_name: ids.PoolName) -> bool:
         """Return whether most targets of a pool cannot be reached."""
--- a/fulmarseam/steering/_choice.py
+++ b/fulmarseam/steering/_choice.py
@@ -37,7 +37,7 @@
         ...
 
 
-class Place(NamedTuple):
+class Locality(NamedTuple):
     """Where an entry or a target runs."""
 
     region: ids.RegionName
@@ -47,8 +47,9 @@
 class Choice(NamedTuple):
     """A target for a request.
 
-    The slot is not taken yet; `SlotBook.take` follows. With `is_remote` the
-    request also needs `ShiftBook.take` and tokens of the links.
+    The slot is not taken yet; `SlotTracker.try_acquire` follows. With
+    `is_remote` the request also needs `ShiftLimiter.try_acquire` and tokens
+    of the links.
     """
 
     target: ids.TargetId
@@ -79,9 +80,9 @@
         choice = choose_target(view, now, book, rng)
     """
 
-    def __init__(self, pool: wire.Pool, place: Place) -> None:
+    def __init__(self, pool: wire.Pool, locality: Locality) -> None:
         self.pool = pool
-        self.place = place
+        self.locality = locality
         self.use_weight = max(MIN_USE_WEIGHT, 1.0 - pool.latency_weight)
         self.doubtful: frozenset[ids.TargetId] = frozenset()
         self._domain: list[_Candidate] = []
@@ -121,26 +122,29 @@
 
     def tiers(
         self,
-        preferred: ids.RegionName | None,
-        blocked: Collection[ids.RegionName],
+        preferred_region: ids.RegionName | None,
+        blocked_regions: Collection[ids.RegionName],
     ) -> Iterator[list[_Candidate]]:
         """Yield the groups of candidates in the order of choice."""
-        if preferred is not None and preferred not in blocked:
-            yield self._remote.get(preferred, [])
+        if (
+            preferred_region is not None
+            and preferred_region not in blocked_regions
+        ):
+            yield self._remote.get(preferred_region, [])
         yield self._domain
         yield self._region
         if not self.pool.local_only:
             yield [
                 candidate
                 for region, group in self._remote.items()
-                if region not in blocked
+                if region not in blocked_regions
                 for candidate in group
             ]
 
     def _group_of(self, candidate: _Candidate) -> list[_Candidate]:
-        if candidate.region != self.place.region:
+        if candidate.region != self.locality.region:
             return self._remote.setdefault(candidate.region, [])
-        if candidate.domain == self.place.domain:
+        if candidate.domain == self.locality.domain:
             return self._domain
         return self._region
 
@@ -148,30 +152,30 @@
 def choose_target(
     view: PoolView,
     now: float,
-    book: _slots.SlotBook,
+    slots: _slots.SlotTracker,
     rng: Random,
-    preferred: ids.RegionName | None = None,
-    blocked: Collection[ids.RegionName] = (),
-    avoided: Collection[ids.TargetId] = (),
+    preferred_region: ids.RegionName | None = None,
+    blocked_regions: Collection[ids.RegionName] = (),
+    avoided_targets: Collection[ids.TargetId] = (),
 ) -> Choice | None:
     """Return the target for a request, or None when no slot is free.
 
-    The order is: `preferred` (the destination of a shift with credit), the
-    own failure domain, the own region, other regions that are not
-    `blocked` (no link tokens or no shift credit). `avoided` lists targets
-    that this request has tried or that run a suspect. A doubtful target is
-    chosen only when no good one has a free slot, in any group, and an
-    ejected one only when no other has.
+    The order is: `preferred_region` (the destination of a shift with
+    credit), the own failure domain, the own region, other regions that are
+    not among `blocked_regions` (no link tokens or no shift credit).
+    `avoided_targets` lists targets that this request has tried or that run a
+    suspect. A doubtful target is chosen only when no good one has a free
+    slot, in any group, and an ejected one only when no other has.
     """
     doubtful: _Candidate | None = None
     last_resort: _Candidate | None = None
-    for tier in view.tiers(preferred, blocked):
+    for tier in view.tiers(preferred_region, blocked_regions):
         best: _Candidate | None = None
         best_cost = float('inf')
         for candidate in tier:
             target = candidate.target
-            allowance, in_flight = book.use_of(now, target)
-            if in_flight >= allowance or target in avoided:
+            allowance, in_flight = slots.get_use(now, target)
+            if in_flight >= allowance or target in avoided_targets:
                 continue
             if candidate.is_ejected:
                 last_resort = last_resort or candidate
@@ -196,7 +200,7 @@
         candidate.target,
         candidate.address,
         candidate.region,
-        candidate.region != view.place.region,
+        candidate.region != view.locality.region,
     )
 
 
--- a/fulmarseam/steering/_placement.py
+++ b/fulmarseam/steering/_placement.py
@@ -19,7 +19,7 @@
 TIME_USED = 0.9
 
 
-class Room(enum.Enum):
+class SlotAvailability(enum.Enum):
     """How much room the chosen target has."""
 
     FREE = 'free'
@@ -31,26 +31,26 @@
     """The target for an attempt, or None when no one has room."""
 
     target: _observed.ObservedTarget | None
-    room: Room
+    availability: SlotAvailability
 
 
-MayTake = Callable[[_observed.ObservedTarget], bool]
+MaySend = Callable[[_observed.ObservedTarget], bool]
 
 
 def place_request(
     now: float,
     targets: Iterable[_observed.ObservedTarget],
-    may_take: MayTake,
+    may_send: MaySend,
     priority: int,
     time_left_s: float,
-    choices: int | None = None,
+    max_choices: int | None = None,
     pool_failure_rate: float = 0.0,
 ) -> Placement:
     """Return the target of an attempt.
 
-    `targets` are in the order of preference. Without `choices` the first
+    `targets` are in the order of preference. Without `max_choices` the first
     free one is taken. With them a request concerns an object, of the
-    targets that can be used only the first `choices` count, and one that
+    targets that can be used only the first `max_choices` count, and one that
     is less preferred, and so does not remember the object, counts as if
     its queue were longer by `UNPREPARED_ROUNDS`. A free target that fails
     far more requests than its pool comes after sound ones that are free, or
@@ -61,9 +61,9 @@
     best: _observed.ObservedTarget | None = None
     best_wait = best_cost = 0.0
     for item in targets:
-        if _observed.is_ejected(item, now) or not may_take(item):
+        if _observed.is_ejected(item, now) or not may_send(item):
             continue
-        if sound == choices:
+        if sound == max_choices:
             break
         wait = _estimate_wait(item, now)
         if _observed.is_doubtful(item, pool_failure_rate):
@@ -71,25 +71,25 @@
                 doubtful = item
             continue
         cost = wait
-        if choices is not None:
+        if max_choices is not None:
             cost += sound * UNPREPARED_ROUNDS
         sound += 1
         if not cost:
-            return Placement(item, Room.FREE)
+            return Placement(item, SlotAvailability.FREE)
         if best is None or cost < best_cost:
             best, best_wait, best_cost = item, wait, cost
-    patience = UNPREPARED_ROUNDS if choices is not None else 0.0
+    patience = UNPREPARED_ROUNDS if max_choices is not None else 0.0
     if doubtful is not None and (best is None or best_wait > patience):
-        return Placement(doubtful, Room.FREE)
+        return Placement(doubtful, SlotAvailability.FREE)
     if best is None:
-        return Placement(None, Room.NONE)
+        return Placement(None, SlotAvailability.NONE)
     if not best_wait:
-        return Placement(best, Room.FREE)
+        return Placement(best, SlotAvailability.FREE)
     rounds = QUEUE_ROUNDS[min(priority, len(QUEUE_ROUNDS) - 1)]
     expected_s = (best_wait + 1.0) * best.service_s
     if best_wait > rounds or expected_s > time_left_s * TIME_USED:
-        return Placement(None, Room.NONE)
-    return Placement(best, Room.QUEUE)
+        return Placement(None, SlotAvailability.NONE)
+    return Placement(best, SlotAvailability.QUEUE)
 
 
 def _estimate_wait(item: _observed.ObservedTarget, now: float) -> float:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Tests of the catalog: items, targets, differences and presence."""
+"""Tests of the catalog: items, targets, differences and entries."""
 
 import unittest
 
@@ -47,7 +47,7 @@
             fixtures.make_route('bad', 2, pool='nowhere'),
         )
         self.assertIn('nowhere', result.problems[0])
-        names = [item.name for item in self.machine.items.live()]
+        names = [item.name for item in self.machine.items.list_live()]
         self.assertEqual(names, ['katalog'])
 
     def test_every_problem_of_a_call_is_reported(self) -> None:
@@ -139,7 +139,7 @@
         self.machine = catalog.Catalog()
         fixtures.put(self.machine, fixtures.make_pool('katalog', 1))
         fixtures.announce(self.machine, 'a')
-        self.mirror = catalog.Mirror()
+        self.mirror = catalog.CatalogMirror()
 
     def _sync(self, machine: catalog.Catalog) -> int:
         """Fetch until nothing is newer; return the number of answers."""
@@ -276,63 +276,69 @@
     """Guards against a log entry for every announcement."""
 
     def test_only_changes_need_the_log(self) -> None:
-        book = catalog.HeartbeatBook()
+        tracker = catalog.HeartbeatTracker()
         record = fixtures.make_record('a', sequence=1)
-        self.assertTrue(book.note(0.0, None, record))
+        self.assertTrue(tracker.record(0.0, None, record))
         renewal = fixtures.make_record('a', sequence=2)
-        self.assertFalse(book.note(1.5, record, renewal))
-        self.assertEqual(book.take_renewed(), ['a'])
-        self.assertEqual(book.take_renewed(), [])
+        self.assertFalse(tracker.record(1.5, record, renewal))
+        self.assertEqual(tracker.take_renewed(), ['a'])
+        self.assertEqual(tracker.take_renewed(), [])
         draining = fixtures.make_record(
             'a', sequence=3, phase=wire.TargetPhase.DRAINING
         )
-        self.assertTrue(book.note(3.0, record, draining))
+        self.assertTrue(tracker.record(3.0, record, draining))
 
     def test_a_target_that_turned_cold_again_is_news(self) -> None:
-        book = catalog.HeartbeatBook()
+        tracker = catalog.HeartbeatTracker()
         known = fixtures.make_record('a', cold_ms=3_000.0)
-        book.note(0.0, None, known)
+        tracker.record(0.0, None, known)
         warming = fixtures.make_record('a', sequence=2, cold_ms=1_500.0)
-        self.assertFalse(book.note(1.5, known, warming))
+        self.assertFalse(tracker.record(1.5, known, warming))
         cold = fixtures.make_record('a', sequence=3, cold_ms=3_000.0)
-        self.assertTrue(book.note(9.0, known, cold))
+        self.assertTrue(tracker.record(9.0, known, cold))
 
 
-class SilenceTest(unittest.TestCase):
+class TargetLeasesTest(unittest.TestCase):
     """Guards against dropping live targets of a member that is cut off."""
 
     def test_silent_targets_are_found_after_the_lease(self) -> None:
-        silences = catalog.Silences(5.0)
+        leases = catalog.TargetLeases(5.0)
         known = {
             fixtures.target_id(name): fixtures.make_record(name, born_ms=7)
             for name in 'abc'
         }
-        self.assertEqual(silences.find_silent(0.0, known), [])
-        silences.note(4.0, [fixtures.target_id(name) for name in 'ab'])
-        self.assertEqual(silences.find_silent(5.5, known), [('c', 7)])
+        self.assertEqual(leases.find_expired(0.0, known), [])
+        leases.renew(4.0, [fixtures.target_id(name) for name in 'ab'])
+        self.assertEqual(leases.find_expired(5.5, known), [('c', 7)])
 
     def test_none_are_silent_when_most_are(self) -> None:
-        silences = catalog.Silences(5.0)
+        leases = catalog.TargetLeases(5.0)
         known = {
             fixtures.target_id(name): fixtures.make_record(name)
             for name in 'abc'
         }
-        silences.find_silent(0.0, known)
-        silences.note(4.0, [fixtures.target_id('a')])
-        self.assertEqual(silences.find_silent(6.0, known), [])
+        leases.find_expired(0.0, known)
+        leases.renew(4.0, [fixtures.target_id('a')])
+        self.assertEqual(leases.find_expired(6.0, known), [])
 
 
-class PresenceTest(unittest.TestCase):
+class EntryRegistryTest(unittest.TestCase):
     """Guards against look-ups that name dead or draining entries."""
 
     def setUp(self) -> None:
-        self.presence = catalog.Presence()
-        self.presence.note(0.0, fixtures.make_poll('e1', 'ost', 'ost-wien'))
-        self.presence.note(0.0, fixtures.make_poll('e2', 'ost', 'ost-stp'))
-        self.presence.note(0.0, fixtures.make_poll('e3', 'west', 'west-ibk'))
+        self.registry = catalog.EntryRegistry()
+        self.registry.record_poll(
+            0.0, fixtures.make_poll('e1', 'ost', 'ost-wien')
+        )
+        self.registry.record_poll(
+            0.0, fixtures.make_poll('e2', 'ost', 'ost-stp')
+        )
+        self.registry.record_poll(
+            0.0, fixtures.make_poll('e3', 'west', 'west-ibk')
+        )
 
     def _find(self, now: float, region: str) -> list[str]:
-        return self.presence.find_entries(
+        return self.registry.find_entries(
             now, fixtures.region(region), fixtures.domain('ost-stp'), 64
         )
 
@@ -345,32 +351,34 @@
         self.assertEqual(len(self._find(1.0, 'sued')), 3)
 
     def test_silent_and_draining_entries_are_left_out(self) -> None:
-        self.presence.note(
+        self.registry.record_poll(
             2.0,
             fixtures.make_poll(
                 'e1', 'ost', 'ost-wien', wire.EntryState.DRAINING
             ),
         )
-        self.presence.note(2.0, fixtures.make_poll('e2', 'ost', 'ost-stp'))
+        self.registry.record_poll(
+            2.0, fixtures.make_poll('e2', 'ost', 'ost-stp')
+        )
         self.assertEqual(self._find(4.0, 'ost'), ['e2:1'])
         self.assertEqual(self._find(5.0, 'ost'), [])
 
     def test_a_late_poll_of_an_ended_process_changes_nothing(self) -> None:
         restarted = fixtures.make_poll('e1', 'ost', 'ost-wien', incarnation=9)
-        self.presence.note(1.0, restarted)
+        self.registry.record_poll(1.0, restarted)
         late = fixtures.make_poll(
             'e1', 'ost', 'ost-wien', wire.EntryState.DRAINING, incarnation=3
         )
-        self.assertFalse(self.presence.note(1.1, late))
+        self.assertFalse(self.registry.record_poll(1.1, late))
         self.assertIn('e1:1', self._find(1.2, 'ost'))
 
     def test_a_process_that_restarts_with_an_earlier_clock_is_heard(
         self,
     ) -> None:
         earlier = fixtures.make_poll('e1', 'ost', 'ost-wien', incarnation=3)
-        self.assertTrue(self.presence.note(3.0, earlier))
+        self.assertTrue(self.registry.record_poll(3.0, earlier))
         self.assertEqual(self._find(3.1, 'ost'), ['e1:1'])
 
     def test_dead_entries_still_count_as_senders(self) -> None:
-        self.assertEqual(self.presence.count_senders(30.0), 3)
-        self.assertEqual(self.presence.count_senders(61.0), 0)
+        self.assertEqual(self.registry.count_senders(30.0), 3)
+        self.assertEqual(self.registry.count_senders(61.0), 0)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -30,11 +30,11 @@
         self.now = 10.0
         self.rng = random.Random(5)
         self.outcomes = steering.OutcomeTable()
-        self.book = steering.SlotBook()
+        self.book = steering.SlotTracker()
         self.loads: dict[str, tuple[int, float]] = {}
         self.places = places
         self.view = steering.PoolView(
-            wire.Pool(name='p', **pool), steering.Place('a', 'a1')
+            wire.Pool(name='p', **pool), steering.Locality('a', 'a1')
         )
         grants = [
             wire.SlotGrant(
@@ -72,7 +72,7 @@
 
     def fill(self, *targets: str) -> None:
         for target in targets:
-            while self.book.take(self.now, target):
+            while self.book.try_acquire(self.now, target):
                 pass
 
 
@@ -90,8 +90,8 @@
         self.assertEqual({'t2'}, set(chooser.count()))
         chooser.fill('t2')
         self.assertEqual({'t3', 't4'}, set(chooser.count()))
-        self.assertEqual('t4', chooser.choose(blocked={'b'}))
-        self.assertIsNone(chooser.choose(blocked={'b', 'c'}))
+        self.assertEqual('t4', chooser.choose(blocked_regions={'b'}))
+        self.assertIsNone(chooser.choose(blocked_regions={'b', 'c'}))
 
     def test_remote_is_marked(self) -> None:
         chooser = self.chooser
@@ -110,15 +110,17 @@
 
     def test_shift_goes_first_unless_blocked(self) -> None:
         chooser = self.chooser
-        self.assertEqual('t3', chooser.choose(preferred='b'))
-        blocked = chooser.choose(preferred='b', blocked={'b'})
+        self.assertEqual('t3', chooser.choose(preferred_region='b'))
+        blocked = chooser.choose(preferred_region='b', blocked_regions={'b'})
         self.assertIn(blocked, {'t0', 't1'})
         chooser.fill('t3')
-        self.assertIn(chooser.choose(preferred='b'), {'t0', 't1'})
+        self.assertIn(chooser.choose(preferred_region='b'), {'t0', 't1'})
 
     def test_avoided_targets_are_left_out(self) -> None:
-        self.assertEqual('t1', self.chooser.choose(avoided={'t0'}))
-        self.assertEqual('t2', self.chooser.choose(avoided={'t0', 't1'}))
+        self.assertEqual('t1', self.chooser.choose(avoided_targets={'t0'}))
+        self.assertEqual(
+            't2', self.chooser.choose(avoided_targets={'t0', 't1'})
+        )
 
     def test_ejected_target_comes_after_those_of_the_region(self) -> None:
         chooser = self.chooser
@@ -157,7 +159,7 @@
 
     def test_least_used_share_is_chosen(self) -> None:
         chooser = self.make_chooser(2, latency_weight=0.0)
-        chooser.book.take(chooser.now, 't0')
+        chooser.book.try_acquire(chooser.now, 't0')
         self.assertEqual({'t1'}, set(chooser.count()))
 
     def test_fresh_report_counts(self) -> None:
--- a/tests/test_observed_placement.py
+++ b/tests/test_observed_placement.py
@@ -22,7 +22,7 @@
     now: float = 0.0,
     priority: int = 2,
     time_left_s: float = 2.0,
-) -> steering.Placed:
+) -> steering.Placement:
     """Place a request for which cold targets are not bounded."""
     return steering.place_request(
         now, targets, lambda item: True, priority, time_left_s
@@ -42,7 +42,7 @@
         shorter = make_target('b', in_flight=3)
         placed = place([longer, shorter])
         self.assertIs(placed.target, shorter)
-        self.assertIs(placed.room, steering.Room.QUEUE)
+        self.assertIs(placed.availability, steering.SlotAvailability.QUEUE)
 
     def test_no_queue_that_ends_after_the_deadline(self) -> None:
         target = make_target('a', in_flight=3, service_s=1.0)
@@ -97,8 +97,8 @@
                 lambda item: True,
                 priority=2,
                 time_left_s=2.0,
-                choices=2,
-                pool_failure_rate=steering.find_failure_rate(targets),
+                max_choices=2,
+                pool_failure_rate=steering.compute_mean_failure_rate(targets),
             )
             if placed.target is not None:
                 placed.target.in_flight += 1
@@ -125,19 +125,21 @@
         target = make_target('a')
         for _ in range(9):
             steering.note_answer(target, 0.0, 0.1, 0.0)
-        self.assertEqual(steering.find_patience(target, 8.0), 8.0)
+        self.assertEqual(steering.compute_attempt_timeout(target, 8.0), 8.0)
 
     def test_an_unprepared_run_is_within_the_patience(self) -> None:
         target = make_target('a')
         for _ in range(100):
             steering.note_answer(target, 0.0, 0.42, 0.0)
-        self.assertGreater(steering.find_patience(target, 8.0), 1.4 * 1.5)
+        self.assertGreater(
+            steering.compute_attempt_timeout(target, 8.0), 1.4 * 1.5
+        )
 
     def test_no_second_attempt_that_cannot_end_in_time(self) -> None:
         target = make_target('a')
         for _ in range(100):
             steering.note_answer(target, 0.0, 0.42, 0.0)
-        self.assertEqual(steering.find_patience(target, 1.5), 1.5)
+        self.assertEqual(steering.compute_attempt_timeout(target, 1.5), 1.5)
 
 
 class PriorityOverloadTest(unittest.TestCase):
@@ -289,7 +291,7 @@
             lambda item: True,
             priority=1,
             time_left_s=2.5,
-            choices=2,
+            max_choices=2,
         )
         if placed.target is None:
             return None
@@ -337,23 +339,23 @@
     """
 
     RATE = 13.0
-    BOUND = steering.ColdBound(1.5, 5.0)
+    BOUND = steering.ColdRateLimit(1.5, 5.0)
 
     def _run(self, senders: int, seed: int) -> int:
         rng = random.Random(seed)
-        share = self.BOUND.share(self.RATE, senders)
+        share = self.BOUND.compute_sender_rate(self.RATE, senders)
         entries = [
-            make_target('a', phase=rng.random(), tokens=1.0)
+            make_target('a', token_offset=rng.random(), tokens=1.0)
             for _ in range(senders)
         ]
         for entry in entries:
-            steering.start_cold(entry, 1.0, 60.0)
+            steering.mark_cold(entry, 1.0, 60.0)
         sent: list[float] = []
         now = 1.0
         while now < 6.0:
             now += rng.expovariate(400.0)
             entry = rng.choice(entries)
-            if steering.may_take(entry, now, share):
+            if steering.may_send(entry, now, share):
                 entry.tokens -= 1.0
                 sent.append(now)
         return max(
@@ -421,7 +423,7 @@
         }
         used = dict.fromkeys(regions, 0.0)
         for own in regions:
-            shares = steering.share_regions(own, regions, len(regions))
+            shares = steering.compute_region_shares(own, regions, len(regions))
             self.assertAlmostEqual(sum(shares.values()), 1.0)
             for region, share in shares.items():
                 used[region] += share / len(regions)
@@ -439,36 +441,38 @@
         slots = {fixtures.region('ost'): 12, fixtures.region('west'): 36}
         own = fixtures.region('west')
         self.assertGreaterEqual(
-            steering.share_regions(own, slots, 2)[own], 0.8
+            steering.compute_region_shares(own, slots, 2)[own], 0.8
         )
 
     def test_a_region_without_targets_uses_the_others(self) -> None:
         slots = {fixtures.region('west'): 36, fixtures.region('sued'): 12}
-        shares = steering.share_regions(fixtures.region('ost'), slots, 3)
+        shares = steering.compute_region_shares(
+            fixtures.region('ost'), slots, 3
+        )
         self.assertAlmostEqual(sum(shares.values()), 1.0)
 
 
-class RepeatBudgetTest(unittest.TestCase):
+class WindowedRetryBudgetTest(unittest.TestCase):
     """Pattern: a target sheds most requests and each could be repeated.
 
     Guards against repeats that make an overload worse.
     """
 
     def test_repeats_stay_within_ratio_and_slack(self) -> None:
-        budget = steering.RepeatBudget(0.1, 4.0, 10.0)
+        budget = steering.WindowedRetryBudget(0.1, 4.0, 10.0)
         taken = 0
         for number in range(1_000):
             budget.count_request(number / 100)
-            taken += budget.take(number / 100)
+            taken += budget.try_acquire(number / 100)
         self.assertLessEqual(taken, 104)
         self.assertGreater(taken, 90)
 
     def test_old_requests_allow_no_repeats(self) -> None:
-        budget = steering.RepeatBudget(0.1, 0.0, 10.0)
+        budget = steering.WindowedRetryBudget(0.1, 0.0, 10.0)
         for _ in range(100):
             budget.count_request(0.0)
-        self.assertTrue(budget.take(5.0))
-        self.assertFalse(budget.take(11.0))
+        self.assertTrue(budget.try_acquire(5.0))
+        self.assertFalse(budget.try_acquire(11.0))
 
 
 class SplitTest(unittest.TestCase):
