--- a/fulmarseam/control/__init__.py
+++ b/fulmarseam/control/__init__.py
@@ -1,13 +1,13 @@
 """The control daemon.
 
-A `Daemon` joins the control group, and while it leads it answers the sync
-requests of entries and proposes the steps of drains, shifts and record
-groups::
+A `Daemon` is a member of the control group. While it leads, it answers the
+sync requests of entries and proposes the state changes ("steps") of drains,
+shifts and record groups::
 
     control.serve(settings.load_settings(path, settings.ControlSettings))
 
-A `CatalogMember` holds items with versions and the targets that announce
-themselves, for entries that observe the targets by themselves.
+A `CatalogMember` stores versioned items and the targets that announce
+themselves, for entries that measure the load of targets themselves.
 """
 
 from fulmarseam.control._catalog import CatalogMember
--- a/fulmarseam/control/_admin.py
+++ b/fulmarseam/control/_admin.py
@@ -1,4 +1,4 @@
-"""Answers to an operator's tool."""
+"""Answers to the requests of operators."""
 
 from collections.abc import Callable
 import time
@@ -22,7 +22,7 @@
 
 
 class AdminService:
-    """Answers admin messages; all but status need the leader."""
+    """Answers admin requests; only the leader answers any but status."""
 
     def __init__(
         self,
@@ -40,17 +40,17 @@
         """Return the answer to one of `ADMIN_REQUESTS`.
 
         Raises `errors.NotLeaderError`, `errors.ProposalUncertainError` and
-        what the change of members raises.
+        the errors of a membership change.
         """
         match message:
             case wire.Edit() | wire.Restore():
                 return await self._propose(message)
             case wire.TablesRequest():
-                return await self._show_tables(message)
+                return await self._read_tables(message)
             case wire.StatusRequest():
-                return self._show_status()
+                return self._make_status()
             case wire.FleetRequest():
-                return self._show_fleet()
+                return self._make_fleet()
             case wire.MemberAdd():
                 await self._member.add_member(
                     message.member, message.address, message.region
@@ -59,7 +59,9 @@
             case wire.MemberRemove():
                 await self._member.remove_member(message.member)
                 return wire.Ok()
-        raise errors.WireError(f'{type(message).__name__}: no admin request')
+        raise errors.WireError(
+            f'{type(message).__name__}: expected an admin request'
+        )
 
     async def _propose(self, edit: wire.Edit | wire.Restore) -> wire.Message:
         started = time.monotonic()
@@ -69,7 +71,7 @@
             self._report_edit(result, time.monotonic() - started)
         return result
 
-    async def _show_tables(
+    async def _read_tables(
         self, request: wire.TablesRequest
     ) -> wire.TablesResponse:
         await self._member.confirm_leadership()
@@ -87,7 +89,7 @@
             blocks=tables.dump_blocks() if plain != names else b'',
         )
 
-    def _show_status(self) -> wire.StatusResponse:
+    def _make_status(self) -> wire.StatusResponse:
         status = self._member.status()
         age = self._member.leadership_age()
         return wire.StatusResponse(
@@ -112,7 +114,7 @@
             last_index=status.last_index,
         )
 
-    def _show_fleet(self) -> wire.FleetResponse:
+    def _make_fleet(self) -> wire.FleetResponse:
         leadership = self._find_leadership()
         if leadership is None or self._member.leadership_age() is None:
             raise errors.NotLeaderError(self._member.leader())
@@ -134,7 +136,7 @@
             wire.EntryProgress(
                 row=row,
                 revision=report.request.revision,
-                silent_ms=int((now - report.heard_at) * _sync.MILLISECONDS),
+                silent_ms=int((now - report.received_at) * _sync.MS_PER_S),
                 in_flight=report.in_flight,
             )
         )
@@ -146,7 +148,7 @@
 ) -> list[wire.TargetProgress]:
     granted: dict[str, int] = {}
     in_flight: dict[str, int] = {}
-    for report in leadership.live_reports(now):
+    for report in leadership.find_live_reports(now):
         for use in report.request.uses:
             target = use.target
             granted[target] = granted.get(target, 0) + use.allowance
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -1,8 +1,8 @@
 """A control member of a catalog group.
 
-Every member takes announcements, polls of entries and orders. What has to
-be agreed on goes through the log of the leader; who is there at the moment
-is known to each member by itself.
+Every member accepts announcements of targets, polls of entries and commands.
+Commands are replicated through the leader's log. Which entries and targets
+are alive is not; each member tracks it from the requests that it receives.
 """
 
 import asyncio
@@ -21,34 +21,34 @@
 from fulmarseam import transport
 from fulmarseam import wire
 
-# A member that hears no leader for the first time asks for votes; two ask
-# at the same moment less often the further both are apart. Heartbeats come
-# each 0.1 s and take up to 40 ms there and back.
+# A member that hears no leader for a random time within these bounds starts
+# an election; a wide range makes simultaneous elections rare. Heartbeats come
+# every 0.1 s, and their round trip takes up to 40 ms.
 ELECTION_MIN_S = 0.4
 ELECTION_MAX_S = 0.8
-# Operators and targets wait 1 s for an answer. An order that has no result
-# by then is sent again to another member.
-ORDER_TIMEOUT_S = 0.9
+# Operators and targets wait 1 s for an answer, and retry a command without
+# a result at another member.
+COMMAND_TIMEOUT_S = 0.9
 FORWARD_TIMEOUT_S = 0.6
-# Pause before an order is offered again, while there is no leader.
-ORDER_PAUSE_S = 0.05
+# Pause before a command is retried, for example while there is no leader.
+COMMAND_RETRY_PAUSE_S = 0.05
 RENEWAL_INTERVAL_S = 0.5
 RENEWAL_TIMEOUT_S = 0.4
-# A target is dropped after this many missed announcements and a margin for
-# one that is late.
+# A target is dropped after this many missed announcements, plus a margin for
+# a late one.
 MISSED_HEARTBEATS = 3
 HEARTBEAT_MARGIN_S = 1.0
-# Pause before a member whose disk refused a write opens it again. A full
-# disk stays so for seconds.
-DISK_PAUSE_S = 0.5
-# Pause before a member takes part again under a new identity.
-REJOIN_PAUSE_S = 0.1
+# Pause before a member opens its directory again after a failed write. A
+# full disk usually stays full for seconds.
+DISK_RETRY_DELAY_S = 0.5
+# Pause before a removed member rejoins under a new identity.
+REJOIN_DELAY_S = 0.1
 
 _log = logbook.Logger('control')
 
 
 class CatalogMember:
-    """A member of the group that holds the catalog; a context manager::
+    """A member of the catalog group; a context manager::
 
     async with CatalogMember(options) as member:
         result = await member.submit(catalog.PutItems(...))
@@ -61,19 +61,19 @@
         self.catalog = catalog.Catalog()
         self.entry_registry = catalog.EntryRegistry()
         self.metrics = telemetry.Metrics()
-        self._heartbeats = catalog.HeartbeatTracker()
-        self._silences = catalog.TargetLeases(
+        self._heartbeat_tracker = catalog.HeartbeatTracker()
+        self._target_leases = catalog.TargetLeases(
             MISSED_HEARTBEATS * options.heartbeat + HEARTBEAT_MARGIN_S
         )
         self._clients = transport.RpcClients()
         self._member: consensus.Member | None = None
-        self._stack = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
         self._tasks: list[asyncio.Task[None]] = []
-        # Gets the exception of work that must never end.
+        # Gets the exception of a background task, which must never end.
         self.failed: asyncio.Future[None] = self._loop.create_future()
-        self._observe()
+        self._register_gauges()
 
-    def _observe(self) -> None:
+    def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
         observe = self.metrics.observe
         observe('revision', lambda: self.catalog.revision)
@@ -81,11 +81,11 @@
         observe(
             'entries', lambda: self.entry_registry.count_senders(self._now())
         )
-        observe('leads', lambda: self.leads())
-        observe('term', lambda: self._status_value('term'))
-        observe('commit_index', lambda: self._status_value('commit_index'))
+        observe('leads', lambda: self.is_leader())
+        observe('term', lambda: self._read_status('term'))
+        observe('commit_index', lambda: self._read_status('commit_index'))
 
-    def _status_value(self, name: str) -> float:
+    def _read_status(self, name: str) -> float:
         if self._member is None:
             return 0.0
         return float(getattr(self._member.status(), name))
@@ -93,22 +93,22 @@
     def _now(self) -> float:
         return time.monotonic()
 
-    # Life
+    # Lifecycle
 
     async def __aenter__(self) -> Self:
-        await self._stack.enter_async_context(self._clients)
+        await self._exit_stack.enter_async_context(self._clients)
         server = transport.RpcServer(self._options.listen, self.handle)
-        await self._stack.enter_async_context(server)
+        await self._exit_stack.enter_async_context(server)
         for work in (
-            self._take_part(),
-            self._pass_renewals(),
+            self._run_memberships(),
+            self._forward_renewals(),
         ):
             task = asyncio.create_task(work)
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._report_failure)
             self._tasks.append(task)
         return self
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _report_failure(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or self.failed.done():
             return
         error = task.exception()
@@ -120,35 +120,35 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.failed.cancel()
-        await self._stack.aclose()
+        await self._exit_stack.aclose()
 
     def update_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Use other seeds from the next search for the group on."""
+        """Use other seeds the next time this member looks for the group."""
         self._seeds = seeds
 
-    async def _take_part(self) -> None:
-        """Take part in the group; again as a new member when removed."""
+    async def _run_memberships(self) -> None:
+        """Take part in the group; rejoin as a new member after a removal."""
         while True:
             try:
-                await self._run_member()
+                await self._run_until_removed()
             except consensus.StorageFailedError as error:
                 _log.error(
                     telemetry.format_event('disk_failed', reason=str(error))
                 )
-                await asyncio.sleep(DISK_PAUSE_S)
+                await asyncio.sleep(DISK_RETRY_DELAY_S)
                 continue
             except errors.DamagedDataError as error:
-                # What the directory held is with the other members; this
-                # one goes on as a new member, like after a lost disk.
+                # The other members have the state of this one, so it rejoins
+                # as a new member, as after a lost disk.
                 _log.error(
                     telemetry.format_event('data_damaged', reason=error.detail)
                 )
             consensus.clear_directory(self._options.data_dir)
             _log.info(telemetry.format_event('member_rejoins'))
-            await asyncio.sleep(REJOIN_PAUSE_S)
+            await asyncio.sleep(REJOIN_DELAY_S)
 
-    async def _run_member(self) -> None:
-        """Return when the group has removed this member."""
+    async def _run_until_removed(self) -> None:
+        """Run one membership; return when the group has removed it."""
         options = self._options
         member_id = consensus.load_or_assign_member_id(
             options.data_dir, options.host
@@ -175,11 +175,11 @@
         async with member:
             self._member = member
             try:
-                await self._wait_for_end(member)
+                await self._wait_until_removed(member)
             finally:
                 self._member = None
 
-    async def _wait_for_end(self, member: consensus.Member) -> None:
+    async def _wait_until_removed(self, member: consensus.Member) -> None:
         failed = asyncio.ensure_future(member.wait_failed())
         retired = asyncio.ensure_future(member.wait_removed())
         try:
@@ -192,15 +192,15 @@
             failed.cancel()
             retired.cancel()
 
-    # Calls of other processes
+    # Requests of other processes
 
     async def handle(self, message: wire.Message) -> wire.Message:
-        """Answer a call; the handler of the member's RPC server."""
+        """Answer a request to the RPC server of the member."""
         match message:
             case wire.CatalogCommand(command=command):
                 return await self._propose(command)
             case wire.TargetRenewal(targets=targets):
-                self._silences.renew(self._now(), targets)
+                self._target_leases.renew(self._now(), targets)
                 return wire.Ok()
             case wire.EntryPoll():
                 return self._answer_poll(message)
@@ -242,16 +242,16 @@
             self._now(), region, domain, limit
         )
 
-    # Orders
+    # Commands
 
     async def wait_until_current(self) -> None:
-        """Wait until this member holds everything accepted before the call.
+        """Wait until this member has applied all commands accepted so far.
 
-        Raises `errors.FulmarseamError` with `UNAVAILABLE` when that is not
-        known in time.
+        Raises `errors.FulmarseamError` with `UNAVAILABLE` when that takes
+        too long.
         """
         result = await self.submit(catalog.ReadRevision())
-        deadline = self._now() + ORDER_TIMEOUT_S
+        deadline = self._now() + COMMAND_TIMEOUT_S
         while self.catalog.revision < result.revision:
             if self._now() >= deadline:
                 raise errors.FulmarseamError(
@@ -259,17 +259,16 @@
                     f'found revision {self.catalog.revision}, expected '
                     f'{result.revision}',
                 )
-            await asyncio.sleep(ORDER_PAUSE_S)
+            await asyncio.sleep(COMMAND_RETRY_PAUSE_S)
 
     async def submit(
-        self, command: catalog.Command, timeout_s: float = ORDER_TIMEOUT_S
+        self, command: catalog.Command, timeout_s: float = COMMAND_TIMEOUT_S
     ) -> wire.CatalogResult:
-        """Have a command agreed on and return its result.
+        """Replicate a command and return its result.
 
-        Commands may be applied twice without harm, so one whose fate is
-        unknown is offered again. Raises `errors.FulmarseamError` with
-        `UNAVAILABLE` when there is no result in time; the command may
-        still come into force then.
+        Commands are idempotent, so one with an unknown outcome is retried.
+        Raises `errors.FulmarseamError` with `UNAVAILABLE` when there is no
+        result in time; the command may still be applied later.
         """
         data = catalog.encode_command(command)
         deadline = self._now() + timeout_s
@@ -277,19 +276,19 @@
         while (left_s := deadline - self._now()) > 0.0:
             try:
                 async with asyncio.timeout(left_s):
-                    return await self._offer(data)
+                    return await self._send_to_leader(data)
             except TimeoutError:
                 reason = 'no result in time'
             except errors.FulmarseamError as error:
                 reason = error.detail
-            await asyncio.sleep(ORDER_PAUSE_S)
+            await asyncio.sleep(COMMAND_RETRY_PAUSE_S)
         raise errors.FulmarseamError(errors.ErrorKind.UNAVAILABLE, reason)
 
-    async def _offer(self, data: bytes) -> wire.CatalogResult:
-        """Pass a command to the leader, which may be this member."""
-        if self.leads():
+    async def _send_to_leader(self, data: bytes) -> wire.CatalogResult:
+        """Send a command to the leader, which may be this member."""
+        if self.is_leader():
             return await self._propose(data)
-        address = self._find_leader()
+        address = self._find_leader_address()
         if address is None:
             raise errors.NotLeaderError()
         answer = await self._clients.call(
@@ -307,14 +306,14 @@
             raise errors.NotLeaderError()
         return catalog.decode_result(await self._member.propose(data))
 
-    def leads(self) -> bool:
-        """Return whether this member is the leader for certain."""
+    def is_leader(self) -> bool:
+        """Return whether this member leads, as confirmed by a majority."""
         return (
             self._member is not None
             and self._member.leadership_age() is not None
         )
 
-    def _find_leader(self) -> str | None:
+    def _find_leader_address(self) -> str | None:
         """Return the address of the leader that this member follows."""
         if self._member is None:
             return None
@@ -336,25 +335,27 @@
             )
         return self._member.status()
 
-    def follows_group(self) -> bool:
+    def has_leader(self) -> bool:
         """Return whether this member leads or follows a leader."""
-        return self.leads() or self._find_leader() is not None
+        return self.is_leader() or self._find_leader_address() is not None
 
     # Targets
 
     async def announce(self, record: wire.TargetRecord) -> None:
-        """Take the announcement of a target.
+        """Record the announcement of a target.
 
-        Returns when all members will know of a change. Raises
-        `errors.FulmarseamError` with `UNAVAILABLE` when this member is
-        without the group, so that the target turns to another one.
+        Returns once a change is committed. Raises `errors.FulmarseamError`
+        with `UNAVAILABLE` when this member has no leader, so that the target
+        announces itself to another member.
         """
-        if not self.follows_group():
+        if not self.has_leader():
             raise errors.FulmarseamError(
                 errors.ErrorKind.UNAVAILABLE, 'no leader is known'
             )
-        known = self.catalog.targets.get(record.target)
-        is_change = self._heartbeats.record(self._now(), known, record)
+        current = self.catalog.targets.get(record.target)
+        is_change = self._heartbeat_tracker.record(
+            self._now(), current, record
+        )
         if not is_change or not self.catalog.targets.is_newer(record):
             return
         await self.submit(catalog.AnnounceTargets(records=[record]))
@@ -372,7 +373,7 @@
         )
 
     async def leave(self, target: ids.TargetId, born_ms: int) -> None:
-        """Take the last word of a target; raises like `announce`."""
+        """Record that a target has left; raises like `announce`."""
         await self.submit(catalog.LeaveTarget(target=target, born_ms=born_ms))
         _log.info(
             telemetry.format_event(
@@ -380,40 +381,40 @@
             )
         )
 
-    async def _pass_renewals(self) -> None:
-        """Tell the leader who is alive; as the leader, drop who is not."""
+    async def _forward_renewals(self) -> None:
+        """Forward renewals to the leader, or drop silent targets as leader."""
         while True:
             await asyncio.sleep(RENEWAL_INTERVAL_S)
-            renewed = self._heartbeats.take_renewed()
+            renewed = self._heartbeat_tracker.take_renewed()
             status = self._member.status() if self._member else None
             self._clients.keep(
                 {info.address for info in status.members} if status else ()
             )
-            if self.leads():
-                self._silences.renew(self._now(), renewed)
-                await self._drop_silent()
+            if self.is_leader():
+                self._target_leases.renew(self._now(), renewed)
+                await self._drop_expired_targets()
                 continue
-            self._silences.clear()
-            address = self._find_leader()
+            self._target_leases.clear()
+            address = self._find_leader_address()
             if address is None or not renewed:
                 continue
             with contextlib.suppress(errors.FulmarseamError):
-                # The next announcement of each target is passed on again.
+                # A lost renewal is made up by the next announcement.
                 await self._clients.call(
                     address,
                     wire.TargetRenewal(targets=renewed),
                     RENEWAL_TIMEOUT_S,
                 )
 
-    async def _drop_silent(self) -> None:
-        known = {
+    async def _drop_expired_targets(self) -> None:
+        records = {
             record.target: record for record in self.catalog.targets.all()
         }
-        silent = self._silences.find_expired(self._now(), known)
-        if not silent:
+        expired = self._target_leases.find_expired(self._now(), records)
+        if not expired:
             return
         try:
-            await self.submit(catalog.DropTargets(targets=silent))
+            await self.submit(catalog.DropTargets(targets=expired))
         except errors.FulmarseamError as error:
             _log.warning(
                 telemetry.format_event(
@@ -424,6 +425,6 @@
         _log.info(
             telemetry.format_event(
                 'targets_dropped',
-                targets=','.join(target for target, _ in silent),
+                targets=','.join(target for target, _ in expired),
             )
         )
--- a/fulmarseam/control/_daemon.py
+++ b/fulmarseam/control/_daemon.py
@@ -19,19 +19,19 @@
 from fulmarseam import wire
 from fulmarseam.control import _admin
 from fulmarseam.control import _leadership
-from fulmarseam.control import _page
+from fulmarseam.control import _metrics_page
+from fulmarseam.control import _notifier
 from fulmarseam.control import _planner
-from fulmarseam.control import _signal
 from fulmarseam.control import _sync
 
-LEASE_TICK_S = 0.1
-# Requests that want more are planned for at once; the tick serves slow
-# starts and charges that end.
-ALLOCATION_TICK_S = 0.25
-PLAN_TICK_S = 0.2
-# Lets entries learn that this member leads no more. Without an answer they
-# would wait for the time-out of the call.
-STOP_PAUSE_S = 0.1
+LEASE_INTERVAL_S = 0.1
+# Requests for more slots trigger an allocation at once. The periodic one
+# covers slow starts and charges that end.
+ALLOCATION_INTERVAL_S = 0.25
+PLAN_INTERVAL_S = 0.2
+# Leaves time to tell waiting entries that this member no longer leads;
+# otherwise they would wait for the timeout of their call.
+STOP_DELAY_S = 0.1
 
 _log = logbook.Logger('control')
 
@@ -50,32 +50,32 @@
     ) -> None:
         self._options = options
         self._tracer = tracer or telemetry.Tracer(None)
-        self._signal = _signal.Signal()
-        self._plan_signal = _signal.Signal()
+        self._sync_notifier = _notifier.Notifier()
+        self._plan_notifier = _notifier.Notifier()
         self.metrics = telemetry.Metrics()
-        self.machine = store.Machine(notify=self._signal.notify)
+        self.machine = store.Machine(notify=self._sync_notifier.notify)
         self.member = consensus.Member(
             consensus.MemberSettings.from_control(options), self.machine
         )
         self._leadership: _leadership.Leadership | None = None
-        self._sync = _sync.SyncService(
+        self._sync_service = _sync.SyncService(
             options,
             self.member,
             self.machine.tables,
             self.find_leadership,
-            self._signal,
-            self._plan_signal.notify,
+            self._sync_notifier,
+            self._plan_notifier.notify,
         )
-        self._admin = _admin.AdminService(
+        self._admin_service = _admin.AdminService(
             self.member,
             self.machine,
             self.find_leadership,
             self._report_edit,
         )
-        self._stopping = asyncio.Event()
-        self._observe_state()
+        self._stop_event = asyncio.Event()
+        self._register_gauges()
 
-    def _observe_state(self) -> None:
+    def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
         observe = self.metrics.observe
         observe('revision', lambda: float(self.machine.tables.revision))
@@ -83,12 +83,12 @@
         observe('term', lambda: float(self.member.status().term))
 
     def find_leadership(self) -> _leadership.Leadership | None:
-        """Return the state of the term that this member leads, if any."""
+        """Return the state of the term that this member leads, or None."""
         return self._leadership
 
     def stop(self) -> None:
         """Make `run` finish."""
-        self._stopping.set()
+        self._stop_event.set()
 
     async def run(self) -> None:
         """Serve until `stop` is called.
@@ -98,27 +98,27 @@
         server = transport.RpcServer(self._options.listen, self.handle)
         page = http.Server(
             self._options.api,
-            _page.Page(self.metrics).handle,
-            _page.make_answer,
+            _metrics_page.MetricsPage(self.metrics).handle,
+            _metrics_page.make_answer,
         )
         async with self.member, server, page:
             self._log('control_started', listen=self._options.listen)
             await self._run_tasks()
             self._leadership = None
-            self._signal.notify()
-            await asyncio.sleep(STOP_PAUSE_S)
+            self._sync_notifier.notify()
+            await asyncio.sleep(STOP_DELAY_S)
         self._log('control_stopped')
 
     async def handle(self, message: wire.Message) -> wire.Message:
-        """Answer one call."""
+        """Answer one request."""
         started = time.monotonic()
         if isinstance(message, wire.SyncRequest):
-            answer: wire.Message = await self._sync.answer(message)
+            answer: wire.Message = await self._sync_service.answer(message)
         elif isinstance(message, consensus.PEER_MESSAGES):
             answer = await self.member.handle(message)
         elif isinstance(message, _admin.ADMIN_REQUESTS):
             with self._tracer.start_span(type(message).__name__):
-                answer = await self._admin.answer(message)
+                answer = await self._admin_service.answer(message)
         else:
             raise errors.WireError(
                 f'found message {type(message).__name__}, expected a request '
@@ -131,11 +131,11 @@
         return answer
 
     async def _run_tasks(self) -> None:
-        """Run the loops until one fails or `stop` is called."""
+        """Run the background tasks until one fails or `stop` is called."""
         loops: list[Coroutine[Any, Any, Any]] = [
-            self._stopping.wait(),
+            self._stop_event.wait(),
             self.member.wait_failed(),
-            self._follow_leadership(),
+            self._track_leadership(),
             self._tick_leases(),
             self._tick_plans(),
         ]
@@ -151,8 +151,8 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _follow_leadership(self) -> None:
-        """Start a new soft state with each term that this member leads."""
+    async def _track_leadership(self) -> None:
+        """Start with empty state for each term that this member leads."""
         term = None
         while True:
             term = await self.member.wait_leadership_change(term)
@@ -163,36 +163,38 @@
                     time.monotonic(), term, self._options, self.machine.tables
                 )
             )
-            self._signal.notify()
+            self._sync_notifier.notify()
             if term is None:
                 self._log('leadership_ended', leader=self.member.leader())
             else:
                 self._log('leadership_started', term=term)
 
     async def _tick_leases(self) -> None:
-        """End leases and plan grants."""
+        """Expire leases and allocate grants periodically."""
         while True:
             leadership = self._leadership
             if leadership is not None:
                 now = time.monotonic()
-                ended = leadership.expire(now)
-                planned = leadership.allocate_on_tick(now, ALLOCATION_TICK_S)
-                if ended or planned:
-                    self._signal.notify()
-            await asyncio.sleep(LEASE_TICK_S)
+                expired = leadership.expire(now)
+                allocated = leadership.allocate_on_tick(
+                    now, ALLOCATION_INTERVAL_S
+                )
+                if expired or allocated:
+                    self._sync_notifier.notify()
+            await asyncio.sleep(LEASE_INTERVAL_S)
 
     async def _tick_plans(self) -> None:
-        """Propose the steps of drains, shifts and record groups."""
+        """Plan and propose due steps periodically and on request."""
         planner: _planner.Planner | None = None
-        planned_for: _leadership.Leadership | None = None
+        planner_leadership: _leadership.Leadership | None = None
         while True:
             leadership = self._leadership
-            if leadership is not planned_for:
-                planned_for = leadership
+            if leadership is not planner_leadership:
+                planner_leadership = leadership
                 planner = self._make_planner(leadership)
             if planner is not None:
                 await planner.run()
-            await self._plan_signal.wait(PLAN_TICK_S)
+            await self._plan_notifier.wait(PLAN_INTERVAL_S)
 
     def _make_planner(
         self, leadership: _leadership.Leadership | None
@@ -232,7 +234,7 @@
 
 
 def serve(options: settings.ControlSettings) -> None:
-    """Run the daemon with the log and the traces that the settings name."""
+    """Run the daemon with the log and trace files of the settings."""
     with contextlib.ExitStack() as stack:
         stack.enter_context(
             telemetry.open_log(options.log_file, options.log_level)
--- a/fulmarseam/control/_drains.py
+++ b/fulmarseam/control/_drains.py
@@ -1,4 +1,4 @@
-"""Steps of planned drains."""
+"""State changes of drains."""
 
 from collections.abc import Collection
 from collections.abc import Iterator
@@ -15,12 +15,12 @@
     """Proposes the next states of drains during one term.
 
     A drain starts at its time by the wall clock. It is done when every
-    entry that may run requests has it in force and neither holds slots nor
-    runs requests on what it empties.
+    entry that may run requests has applied it and neither holds slots nor
+    runs requests on the drained targets or entry.
     """
 
     def __init__(self) -> None:
-        self._in_force_at: dict[str, int] = {}
+        self._active_revisions: dict[str, int] = {}
 
     def plan(
         self,
@@ -33,27 +33,27 @@
         for drain in tables.rows(wire.Drain):
             if drain.state is wire.DrainState.PLANNED:
                 if drain.start <= wall_time:
-                    yield _move(drain, wire.DrainState.ACTIVE)
+                    yield _make_step(drain, wire.DrainState.ACTIVE)
             elif drain.state is wire.DrainState.ACTIVE:
-                # The revision at which this leader first saw the drain is
-                # not below the one that started it.
-                revision = self._in_force_at.setdefault(
+                # The revision at which this leader first saw the active drain
+                # is at or above the one that activated it.
+                revision = self._active_revisions.setdefault(
                     drain.name, tables.revision
                 )
-                reports = list(leadership.live_reports(now))
+                reports = list(leadership.find_live_reports(now))
                 if leadership.is_settled(now) and not any(
-                    find_pending(drain, revision, leadership, reports)
+                    find_blocking_reports(drain, revision, leadership, reports)
                 ):
-                    yield _move(drain, wire.DrainState.DONE)
+                    yield _make_step(drain, wire.DrainState.DONE)
 
 
-def find_pending(
+def find_blocking_reports(
     drain: wire.Drain,
     revision: int,
     leadership: _leadership.Leadership,
     reports: Collection[_leadership.EntryReport],
 ) -> Iterator[_leadership.EntryReport]:
-    """Yield the reports of entries that the drain still waits for."""
+    """Yield the reports of entries that keep the drain from being done."""
     for report in reports:
         if report.request.revision < revision:
             yield report
@@ -71,19 +71,19 @@
 def is_drained(
     drain: wire.Drain, target: ids.TargetId, leadership: _leadership.Leadership
 ) -> bool:
-    """Return whether a drain empties a target."""
+    """Return whether a drain applies to a target."""
     if drain.scope is wire.DrainScope.TARGET:
         return target == drain.subject
-    place = leadership.places.get(target)
-    if place is None:
-        # A target that this leader never heard of may be drained.
+    location = leadership.target_locations.get(target)
+    if location is None:
+        # The drain may apply to a target without a known location.
         return drain.scope is not wire.DrainScope.ENTRY
     if drain.scope is wire.DrainScope.DOMAIN:
-        return place.domain == drain.subject
+        return location.domain == drain.subject
     if drain.scope is wire.DrainScope.REGION:
-        return place.region == drain.subject
+        return location.region == drain.subject
     return False
 
 
-def _move(drain: wire.Drain, state: wire.DrainState) -> store.RowStep:
+def _make_step(drain: wire.Drain, state: wire.DrainState) -> store.RowStep:
     return store.RowStep(drain, msgspec.structs.replace(drain, state=state))
--- a/fulmarseam/control/_leadership.py
+++ b/fulmarseam/control/_leadership.py
@@ -1,7 +1,7 @@
-"""What a leader knows besides the tables, for one term.
+"""The state that a leader keeps beside the replicated tables.
 
-All of it is in memory and is built anew from the sync requests of the
-entries after each change of leader.
+It lasts for one term, in memory only. Each new leader rebuilds it from the
+sync requests of the entries.
 """
 
 from collections.abc import Iterator
@@ -14,28 +14,28 @@
 from fulmarseam import store
 from fulmarseam import wire
 
-MILLISECONDS = 1_000
+MS_PER_S = 1_000
 ENTRY_LEASE_S = 3.0
-# Entries at this number of demands per second would otherwise each start an
-# allocation over all targets.
+# Limits the rate of allocations, since each sync request that asks for more
+# slots would otherwise start one over all targets.
 MIN_ALLOCATION_INTERVAL_S = 0.01
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryReport:
-    """The last sync request of an entry and when it came."""
+    """The last sync request of an entry and the time of its arrival."""
 
     request: wire.SyncRequest
-    heard_at: float
+    received_at: float
 
     @property
     def in_flight(self) -> int:
-        """Return the number of requests at targets."""
+        """Return the number of requests in flight at targets."""
         return sum(use.in_flight for use in self.request.uses)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class TargetLocation:
     """The failure domain and region of a target."""
 
     domain: ids.DomainName
@@ -43,9 +43,9 @@
 
 
 class Leadership:
-    """Targets, entries and grants that the leader of a term keeps.
+    """Keeps targets, entries and grants while this member leads a term.
 
-    `now` is in monotonic seconds. `started` is when the term began.
+    `now` is in monotonic seconds; `started_at` is the start of the term.
     """
 
     def __init__(
@@ -56,40 +56,40 @@
         tables: store.Tables,
     ) -> None:
         self.term = term
-        self.started = now
+        self.started_at = now
         self.targets = membership.TargetTable(
-            options.target_lease_ms / MILLISECONDS
+            options.target_lease_ms / MS_PER_S
         )
         self.entries = membership.EntryTable(now, ENTRY_LEASE_S)
         self.allocator = steering.Allocator(
             now,
             term,
             steering.AllocatorOptions(
-                grant_ttl_s=options.grant_ttl_ms / MILLISECONDS,
+                grant_ttl_s=options.grant_ttl_ms / MS_PER_S,
                 clock_drift=options.clock_drift,
             ),
-            former_holders=list_registered(tables),
+            former_holders=list_registered_incarnations(tables),
         )
         self.reports: dict[ids.EntryId, EntryReport] = {}
-        self.places: dict[ids.TargetId, Place] = {}
-        self._grant_ttl_s = options.grant_ttl_ms / MILLISECONDS
+        self.target_locations: dict[ids.TargetId, TargetLocation] = {}
+        self._grant_ttl_s = options.grant_ttl_ms / MS_PER_S
         self._tables = tables
         self._allocated_at = float('-inf')
         self._allocated_revision = -1
 
-    def record(self, now: float, request: wire.SyncRequest) -> bool:
-        """Take a sync request.
+    def record_sync(self, now: float, request: wire.SyncRequest) -> bool:
+        """Record a sync request.
 
         Return False when a newer incarnation of the entry is known.
         """
         if not self.entries.record(now, request):
             return False
         ages = request.announcement_ages_ms
-        travel_s = self.allocator.compute_max_request_age(now, request)
+        request_age_s = self.allocator.compute_max_request_age(now, request)
         for index, report in enumerate(request.announcements):
             age_ms = ages[index] if index < len(ages) else 0
-            if self.targets.record(now - travel_s, report, age_ms):
-                self.places[report.target] = Place(
+            if self.targets.record(now - request_age_s, report, age_ms):
+                self.target_locations[report.target] = TargetLocation(
                     report.failure_domain, report.region
                 )
         self.reports[request.info.entry] = EntryReport(request, now)
@@ -97,7 +97,7 @@
         return True
 
     def expire(self, now: float) -> bool:
-        """End leases; return whether any ended."""
+        """Expire leases; return whether any has ended."""
         ended = bool(self.targets.expire(now))
         ended |= bool(self.entries.expire(now))
         known = {row.info.entry for row in self.entries.rows()}
@@ -106,7 +106,7 @@
         return ended
 
     def allocate(self, now: float) -> None:
-        """Plan the shares of all entries."""
+        """Allocate the slots and link rates of all entries."""
         tables = self._tables
         self._allocated_at = now
         self._allocated_revision = tables.revision
@@ -120,7 +120,7 @@
         )
 
     def allocate_if_due(self, now: float, wants_more: bool) -> None:
-        """Plan anew when the tables changed or an entry wants more."""
+        """Allocate if the tables changed or an entry wants more slots."""
         if self._allocated_revision != self._tables.revision or (
             wants_more
             and now - self._allocated_at >= MIN_ALLOCATION_INTERVAL_S
@@ -128,48 +128,52 @@
             self.allocate(now)
 
     def allocate_on_tick(self, now: float, interval_s: float) -> bool:
-        """Plan anew after an interval; return whether it was done."""
+        """Allocate if the last time is an interval ago; return if so."""
         if now - self._allocated_at < interval_s:
             return False
         self.allocate(now)
         return True
 
-    def grants_for(self, now: float, info: wire.EntryInfo) -> steering.Grants:
-        """Return the grants of an entry; none before it is registered."""
+    def issue_grants(
+        self, now: float, info: wire.EntryInfo
+    ) -> steering.Grants:
+        """Issue the grants of an entry; none before it is registered."""
         if not self.is_registered(info):
             return steering.Grants(0, [], [])
         return self.allocator.issue_grants(now, info.entry, info.incarnation)
 
     def is_registered(self, info: wire.EntryInfo) -> bool:
-        """Return whether the log names an incarnation of an entry."""
+        """Return whether the log has registered an entry's incarnation."""
         row = self._tables.get(wire.Registration, info.entry)
         return row is not None and info.incarnation in row.incarnations
 
-    def has_grant_news(self, now: float, info: wire.EntryInfo) -> bool:
-        """Return whether an entry should get its grants at once."""
+    def has_grant_changes(self, now: float, info: wire.EntryInfo) -> bool:
+        """Return whether an entry should get changed grants at once."""
         return self.is_registered(info) and self.allocator.has_grant_changes(
             now, info.entry, info.incarnation
         )
 
-    def live_reports(self, now: float) -> Iterator[EntryReport]:
+    def find_live_reports(self, now: float) -> Iterator[EntryReport]:
         """Yield the reports of entries that may still run requests.
 
-        An entry that went silent may use its grants until they expire and
-        run what it dispatched until the longest deadline has passed.
+        A silent entry may use its grants until they expire and run requests
+        that it dispatched until the longest deadline has passed.
         """
         pools = self._tables.rows(wire.Pool)
         longest_ms = max((pool.max_deadline_ms for pool in pools), default=0)
-        limit = self._grant_ttl_s + longest_ms / MILLISECONDS
+        limit = self._grant_ttl_s + longest_ms / MS_PER_S
         for report in self.reports.values():
-            if now - report.heard_at < limit:
+            if now - report.received_at < limit:
                 yield report
 
     def is_settled(self, now: float) -> bool:
-        """Return whether every live entry has had time to report."""
-        return now - self.started > 2 * ENTRY_LEASE_S
+        """Return whether every live entry has had time to sync."""
+        return now - self.started_at > 2 * ENTRY_LEASE_S
 
 
-def list_registered(tables: store.Tables) -> set[tuple[ids.EntryId, int]]:
+def list_registered_incarnations(
+    tables: store.Tables,
+) -> set[tuple[ids.EntryId, int]]:
     """Return the incarnations of entries that may hold grants."""
     return {
         (row.name, incarnation)
--- a/fulmarseam/control/_page.py
+++ b/fulmarseam/control/_metrics_page.py
@@ -11,8 +11,8 @@
 _JSON = [(b'content-type', b'application/json')]
 
 
-class Page:
-    """Answers requests on the member's `api` address."""
+class MetricsPage:
+    """Serves the metrics on the `api` address of the member."""
 
     def __init__(self, metrics: telemetry.Metrics) -> None:
         self._metrics = metrics
@@ -37,6 +37,6 @@
 
 
 def make_answer(error: errors.FulmarseamError) -> http.OwnAnswer:
-    """Return the answer for an error."""
+    """Return the HTTP answer for an error."""
     body = json.dumps({'kind': error.kind.value, 'detail': error.detail})
     return http.OwnAnswer(error.answer.status, _JSON, body.encode() + b'\n')
--- a/fulmarseam/control/_signal.py
+++ b/fulmarseam/control/_notifier.py
@@ -1,21 +1,21 @@
-"""A signal that wakes all its waiters."""
+"""Notification of all waiting tasks."""
 
 import asyncio
 
 
-class Signal:
-    """Wakes the held sync requests when there may be news."""
+class Notifier:
+    """Wakes all waiting tasks at once, such as held sync requests."""
 
     def __init__(self) -> None:
         self._event = asyncio.Event()
 
     def notify(self) -> None:
-        """Wake all that wait now."""
+        """Wake all tasks that are waiting now."""
         self._event.set()
         self._event = asyncio.Event()
 
     async def wait(self, timeout_s: float) -> None:
-        """Return after the next `notify` or when the time is over."""
+        """Return after the next `notify` or after the timeout."""
         event = self._event
         try:
             async with asyncio.timeout(timeout_s):
--- a/fulmarseam/control/_planner.py
+++ b/fulmarseam/control/_planner.py
@@ -1,4 +1,7 @@
-"""The steps that a leader proposes."""
+"""Planning and proposing of steps.
+
+A step is a change of replicated rows that the leader proposes by itself.
+"""
 
 import time
 
@@ -19,7 +22,7 @@
 
 
 class Planner:
-    """Plans and proposes the steps of one term."""
+    """Plans and proposes the leader's steps during one term."""
 
     def __init__(
         self,
@@ -50,10 +53,10 @@
         ]
 
     async def run(self) -> None:
-        """Propose the steps that are due now, each by itself.
+        """Propose the steps that are due now, one at a time.
 
-        A step that is refused or uncertain is planned again at the next
-        call from the rows then in force.
+        The next call plans again from the rows in force, so refused and
+        uncertain steps need no handling.
         """
         for step in self.plan(time.monotonic(), time.time()):
             try:
@@ -82,13 +85,13 @@
                 table=store.TABLE_NAMES[type(step.row)].value,
                 key=step.row.name,
                 revision=result.revision,
-                **_describe(step.row),
+                **_list_changed_fields(step.row),
             )
         )
 
 
-def _describe(row: wire.Row) -> dict[str, object]:
-    """Return the fields of a row that steps change."""
+def _list_changed_fields(row: wire.Row) -> dict[str, object]:
+    """Return the fields of a row that steps change, for the log."""
     match row:
         case wire.Drain():
             return {'state': row.state.value}
--- a/fulmarseam/control/_shifts.py
+++ b/fulmarseam/control/_shifts.py
@@ -1,4 +1,4 @@
-"""Steps of planned shifts."""
+"""State changes of shifts."""
 
 from collections.abc import Iterator
 import dataclasses
@@ -11,25 +11,26 @@
 from fulmarseam.control import _leadership
 
 RAMP_STEPS = 10
-# A step is in force everywhere within a second, so faster steps would
-# follow each other before their effect is seen.
-MIN_STEP_S = 1.0
-# A shift is held below the first share of free slots on the receiving side
-# and goes on above the second, so that it does not alternate.
-HOLD_BELOW = 0.1
-RESUME_ABOVE = 0.2
+# A step takes up to a second to be in force everywhere. Shorter intervals
+# would not show the effect of one step before the next.
+MIN_STEP_INTERVAL_S = 1.0
+# A shift is held when the share of free slots in the receiving region falls
+# below the first value, and resumed above the second. The gap between them
+# keeps it from alternating.
+HOLD_BELOW_FREE_SHARE = 0.1
+RESUME_ABOVE_FREE_SHARE = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Room:
-    """Slots of a pool in a region and how many of them are free."""
+class SlotCapacity:
+    """Number of slots of a pool in a region, and of the free ones."""
 
     slots: int
     free: int
 
     @property
-    def share(self) -> float:
-        """Return the free share; 0 without any slots."""
+    def free_share(self) -> float:
+        """Return the share of free slots; 0 without any slots."""
         return self.free / self.slots if self.slots else 0.0
 
 
@@ -37,7 +38,7 @@
     """Proposes the next states and percentages of shifts during one term.
 
     Start and end follow the wall clock. The ramp is timed by the monotonic
-    clock; a new leader goes on from the percentage in force.
+    clock; a new leader continues from the percentage in force.
     """
 
     def __init__(self) -> None:
@@ -58,10 +59,10 @@
             }:
                 self._stepped_at.pop(shift.name, None)
             elif shift.end <= wall_time:
-                yield _move(shift, wire.ShiftState.DONE, 0.0)
+                yield _make_step(shift, wire.ShiftState.DONE, 0.0)
             elif shift.state is wire.ShiftState.PLANNED:
                 if shift.start <= wall_time and not _is_blocked(shift, tables):
-                    yield _move(shift, wire.ShiftState.ACTIVE, 0.0)
+                    yield _make_step(shift, wire.ShiftState.ACTIVE, 0.0)
             else:
                 yield from self._plan_ramp(now, shift, leadership, tables)
 
@@ -76,28 +77,28 @@
             return
         if not leadership.is_settled(now):
             return
-        room = find_room(now, shift, leadership, tables)
+        capacity = find_receiving_capacity(now, shift, leadership, tables)
         if shift.state is wire.ShiftState.HELD:
-            if room.share > RESUME_ABOVE:
-                yield _move(shift, wire.ShiftState.ACTIVE, shift.percent)
+            if capacity.free_share > RESUME_ABOVE_FREE_SHARE:
+                yield _make_step(shift, wire.ShiftState.ACTIVE, shift.percent)
             return
-        if room.share < HOLD_BELOW:
-            yield _move(shift, wire.ShiftState.HELD, shift.percent)
+        if capacity.free_share < HOLD_BELOW_FREE_SHARE:
+            yield _make_step(shift, wire.ShiftState.HELD, shift.percent)
             return
-        interval = max(MIN_STEP_S, shift.ramp_s / RAMP_STEPS)
+        interval = max(MIN_STEP_INTERVAL_S, shift.ramp_s / RAMP_STEPS)
         if now - self._stepped_at.get(shift.name, float('-inf')) < interval:
             return
         self._stepped_at[shift.name] = now
-        yield _move(shift, shift.state, _next_percent(shift))
+        yield _make_step(shift, shift.state, _compute_next_percent(shift))
 
 
-def find_room(
+def find_receiving_capacity(
     now: float,
     shift: wire.Shift,
     leadership: _leadership.Leadership,
     tables: store.Tables,
-) -> Room:
-    """Return the room for a shift in its receiving region."""
+) -> SlotCapacity:
+    """Return the slot capacity of the region that receives a shift."""
     drains = [
         drain
         for drain in tables.rows(wire.Drain)
@@ -116,16 +117,16 @@
     }
     busy = sum(
         use.in_flight
-        for report in leadership.live_reports(now)
+        for report in leadership.find_live_reports(now)
         for use in report.request.uses
         if use.target in slots
     )
     total = sum(slots.values())
-    return Room(total, max(0, total - busy))
+    return SlotCapacity(total, max(0, total - busy))
 
 
 def _is_blocked(shift: wire.Shift, tables: store.Tables) -> bool:
-    """Return whether another shift of the same traffic still runs."""
+    """Return whether another shift of the same traffic is running."""
     return any(
         other.state in {wire.ShiftState.ACTIVE, wire.ShiftState.HELD}
         and (other.pool, other.from_region) == (shift.pool, shift.from_region)
@@ -134,14 +135,14 @@
     )
 
 
-def _next_percent(shift: wire.Shift) -> float:
+def _compute_next_percent(shift: wire.Shift) -> float:
     if shift.ramp_s <= 0.0:
         return shift.cap_percent
     step = shift.cap_percent / RAMP_STEPS
     return min(shift.cap_percent, shift.percent + step)
 
 
-def _move(
+def _make_step(
     shift: wire.Shift, state: wire.ShiftState, percent: float
 ) -> store.RowStep:
     return store.RowStep(
--- a/fulmarseam/control/_sync.py
+++ b/fulmarseam/control/_sync.py
@@ -9,9 +9,9 @@
 from fulmarseam import store
 from fulmarseam import wire
 from fulmarseam.control import _leadership
-from fulmarseam.control import _signal
+from fulmarseam.control import _notifier
 
-MILLISECONDS = 1_000
+MS_PER_S = 1_000
 
 FindLeadership = Callable[[], _leadership.Leadership | None]
 
@@ -21,7 +21,7 @@
 
     `find_leadership` returns the state of the current term, or None when
     this member does not lead. `request_plan` makes the leader plan its
-    steps now, which registers a new entry.
+    steps at once, which registers a new entry.
     """
 
     def __init__(
@@ -30,18 +30,18 @@
         member: consensus.Member,
         tables: store.Tables,
         find_leadership: FindLeadership,
-        signal: _signal.Signal,
+        notifier: _notifier.Notifier,
         request_plan: Callable[[], None],
     ) -> None:
         self._options = options
         self._member = member
         self._tables = tables
         self._find_leadership = find_leadership
-        self._signal = signal
+        self._notifier = notifier
         self._request_plan = request_plan
 
     async def answer(self, request: wire.SyncRequest) -> wire.SyncResponse:
-        """Return the news for an entry, at once or when there is some.
+        """Return the changes for an entry, waiting for some if needed.
 
         Raises `errors.NotLeaderError` when this member does not lead with
         a valid leadership age, and `errors.FulmarseamError` when a newer
@@ -49,8 +49,8 @@
         """
         leadership, _ = self._require_leadership()
         now = time.monotonic()
-        known = leadership.entries.version
-        if not leadership.record(now, request):
+        entries_version = leadership.entries.version
+        if not leadership.record_sync(now, request):
             raise errors.FulmarseamError(
                 errors.ErrorKind.VERSION_CONFLICT,
                 f'{request.info.entry}: a newer incarnation is known',
@@ -59,13 +59,16 @@
             self._request_plan()
         wants_more = _wants_more(request)
         leadership.allocate_if_due(now, wants_more)
-        if leadership.entries.version != known or request.announcements:
-            self._signal.notify()
+        if (
+            leadership.entries.version != entries_version
+            or request.announcements
+        ):
+            self._notifier.notify()
         elif wants_more:
-            # Other entries may hold slots that this one wants.
-            self._signal.notify()
-        await self._wait_for_news(leadership, request, now)
-        return self._make_answer(leadership, request)
+            # Other entries may have to give up slots that this one wants.
+            self._notifier.notify()
+        await self._wait_for_changes(leadership, request, now)
+        return self._make_response(leadership, request)
 
     def _require_leadership(self) -> tuple[_leadership.Leadership, float]:
         leadership = self._find_leadership()
@@ -78,25 +81,25 @@
             raise errors.NotLeaderError(self._member.leader())
         return leadership, age
 
-    async def _wait_for_news(
+    async def _wait_for_changes(
         self,
         leadership: _leadership.Leadership,
         request: wire.SyncRequest,
         started: float,
     ) -> None:
         hold_ms = min(request.wait_ms, self._options.sync_hold_ms)
-        deadline = started + hold_ms / MILLISECONDS
+        deadline = started + hold_ms / MS_PER_S
         while True:
             now = time.monotonic()
             if (
                 now >= deadline
                 or leadership is not self._find_leadership()
-                or self._has_news(leadership, request, now)
+                or self._has_changes(leadership, request, now)
             ):
                 return
-            await self._signal.wait(deadline - now)
+            await self._notifier.wait(deadline - now)
 
-    def _has_news(
+    def _has_changes(
         self,
         leadership: _leadership.Leadership,
         request: wire.SyncRequest,
@@ -108,24 +111,24 @@
             or request.targets_term != leadership.term
             or request.targets_version < leadership.targets.urgent_version
             or request.entries_version != leadership.entries.version
-            or leadership.has_grant_news(now, request.info)
+            or leadership.has_grant_changes(now, request.info)
         )
 
-    def _make_answer(
+    def _make_response(
         self, leadership: _leadership.Leadership, request: wire.SyncRequest
     ) -> wire.SyncResponse:
-        found, age = self._require_leadership()
-        if found is not leadership:
+        current, age = self._require_leadership()
+        if current is not leadership:
             raise errors.NotLeaderError(self._member.leader())
         now = time.monotonic()
         leadership.allocate_if_due(now, wants_more=False)
-        grants = leadership.grants_for(now, request.info)
-        is_known = request.targets_term == leadership.term
+        grants = leadership.issue_grants(now, request.info)
+        is_same_term = request.targets_term == leadership.term
         targets = leadership.targets.changes_since(
-            now, request.targets_version if is_known else 0
+            now, request.targets_version if is_same_term else 0
         )
         entries = leadership.entries.changes_since(
-            request.entries_version if is_known else 0
+            request.entries_version if is_same_term else 0
         )
         tables = self._tables.changes_since(request.revision)
         return wire.SyncResponse(
@@ -151,8 +154,8 @@
 
 
 def round_up_ms(seconds: float) -> int:
-    """Return whole milliseconds that are not less than `seconds`."""
-    return -int(-seconds * MILLISECONDS // 1)
+    """Return seconds as milliseconds, rounded up."""
+    return -int(-seconds * MS_PER_S // 1)
 
 
 def _wants_more(request: wire.SyncRequest) -> bool:
--- a/tests/test_catalog_member.py
+++ b/tests/test_catalog_member.py
@@ -1,4 +1,4 @@
-"""Tests of catalog members that find each other by seeds on loopback."""
+"""Tests of catalog members that discover each other by seeds."""
 
 import asyncio
 import contextlib
@@ -20,12 +20,12 @@
 from tests import fakes
 
 WAIT_S = 12.0
-# Members listen on addresses of their own with one port, as on hosts.
+# Each member listens on its own address and the same port, like a host.
 HOSTS = ('127.0.7.1', '127.0.7.2', '127.0.7.3', '127.0.7.4')
 
 
 class Host:
-    """One host: its settings, its directory and its member when it runs."""
+    """A host with its settings, data directory and running member."""
 
     def __init__(self, options: settings.CatalogSettings) -> None:
         self.options = options
@@ -40,19 +40,19 @@
         )
 
     async def stop(self) -> None:
-        """End the member without any farewell."""
+        """Stop the member without telling the group."""
         self.member = None
         await self._stack.aclose()
 
     async def wipe(self) -> None:
-        """Lose the disk; the platform then clears the first start."""
+        """Lose the disk, after which the platform unsets `first_start`."""
         await self.stop()
         shutil.rmtree(self.options.data_dir)
         self.options = dataclasses.replace(self.options, first_start=False)
 
 
 class CatalogMemberCase(unittest.IsolatedAsyncioTestCase):
-    """Runs a group of three members; the loss of one is borne."""
+    """Runs a group of three members that tolerates the loss of one."""
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
@@ -61,7 +61,7 @@
         self.directory = pathlib.Path(directory.name)
         self.port = int(fakes.find_free_address().rpartition(':')[2])
         self.hosts = [self.make_host(number) for number in range(3)]
-        # The founder comes last: nobody may need it to listen first.
+        # The founder starts last, since none may depend on it to listen.
         for host in reversed(self.hosts):
             await host.start()
         await self.wait_for_voters(3)
@@ -97,8 +97,8 @@
     def find_voters(self) -> set[str]:
         """Return the hosts of the voters, when all members list the same.
 
-        A change that only the leader holds may still be lost with it, so a
-        member that it makes a voter does not count yet.
+        A change that only the leader has may still be lost with it, so the
+        new voter counts only once all members list it.
         """
         lists = []
         for member in self.members():
@@ -107,12 +107,12 @@
             except errors.FulmarseamError:
                 return set()
             lists.append({str(info.host) for info in members if info.voter})
-        has_leader = any(member.leads() for member in self.members())
+        has_leader = any(member.is_leader() for member in self.members())
         is_agreed = all(voters == lists[0] for voters in lists)
         return lists[0] if has_leader and is_agreed else set()
 
     async def wait_for_voters(self, count: int, *hosts: str) -> None:
-        """Wait until that many voters, and these among them, are there."""
+        """Wait for that many voters, including those of `hosts`."""
         async with asyncio.timeout(WAIT_S):
             while True:
                 voters = self.find_voters()
@@ -123,7 +123,7 @@
     async def put(
         self, member: control.CatalogMember, *items: wire.Item
     ) -> wire.CatalogResult:
-        """Have items accepted, resending as an operator does."""
+        """Submit items, and retry as an operator does."""
         command = catalog.PutItems(
             items=list(items), digest=repr(items).encode()
         )
@@ -146,21 +146,21 @@
 
 
 class FoundingTest(CatalogMemberCase):
-    """Guards against members that do not find each other."""
+    """Guards against a group that does not form or does not agree."""
 
-    async def test_an_order_at_any_member_reaches_all(self) -> None:
+    async def test_a_command_at_any_member_reaches_all(self) -> None:
         for number, member in enumerate(self.members()):
             name = f'pool-{number}'
             await self.put(member, fixtures.make_pool(name, 1))
             await self.wait_for_item(name)
 
-    async def test_a_refused_order_names_every_problem(self) -> None:
+    async def test_a_refused_command_names_every_problem(self) -> None:
         result = await self.put(
             self.members()[0], fixtures.make_route('r', 1, pool='nowhere')
         )
         self.assertIn('nowhere', result.problems[0])
 
-    async def test_reading_waits_for_what_was_accepted(self) -> None:
+    async def test_reading_waits_for_accepted_commands(self) -> None:
         first, second, third = self.members()
         await self.put(first, fixtures.make_pool('katalog', 1))
         for member in (first, second, third):
@@ -169,9 +169,13 @@
 
 
 class RepairTest(CatalogMemberCase):
-    """Guards against lost members that nobody replaces."""
+    """Guards against lost members that are not replaced.
 
-    async def test_a_wiped_member_counts_again_within_four_seconds(
+    Members lose their disk, are gone for good, come back after they were
+    replaced, or cannot write.
+    """
+
+    async def test_a_wiped_member_is_a_voter_again_within_four_seconds(
         self,
     ) -> None:
         await self.put(self.members()[1], fixtures.make_pool('katalog', 1))
@@ -230,7 +234,7 @@
 
 
 class TargetTest(CatalogMemberCase):
-    """Guards against targets that are lost or kept too long."""
+    """Guards against targets that are dropped too early or too late."""
 
     async def _wait_for_targets(self, expected: set[str]) -> None:
         async with asyncio.timeout(WAIT_S):
@@ -258,7 +262,7 @@
         first, second, _ = self.members()
         for name in 'abc':
             await first.announce(fixtures.make_record(name, born_ms=7))
-        # A follower that holds only two of them yet would end the loop.
+        # A follower that does not have all three yet would end the loop.
         await self._wait_for_targets(set('abc'))
         async with asyncio.timeout(WAIT_S):
             sequence = 1
@@ -273,7 +277,7 @@
                 await asyncio.sleep(0.3)
         await self._wait_for_targets({'b', 'c'})
 
-    async def test_a_member_without_the_group_takes_no_announcement(
+    async def test_a_member_without_a_leader_refuses_announcements(
         self,
     ) -> None:
         for host in self.hosts[1:]:
@@ -281,7 +285,7 @@
         member = self.members()[0]
         async with asyncio.timeout(WAIT_S):
             while True:
-                if not member.follows_group():
+                if not member.has_leader():
                     break
                 await asyncio.sleep(0.05)
         with self.assertRaises(errors.FulmarseamError):
@@ -289,14 +293,13 @@
 
 
 class FormerIdentityTest(CatalogMemberCase):
-    """Guards against a wiped member that stops to ask to be let in.
+    """Guards against a wiped member that stops asking to join.
 
-    On a day with two lost disks one after the other, such a member was
-    bound to its group by a message for its former identity and was never
-    added, so the second loss took the majority.
+    A message for its former identity bound such a member to the group, so
+    it was never added, and the loss of a second disk took the majority.
     """
 
-    async def test_a_message_for_the_former_identity_binds_nobody(
+    async def test_a_message_for_the_former_identity_does_not_bind(
         self,
     ) -> None:
         host = self.hosts[2]
@@ -306,7 +309,7 @@
             if info.host == 'core-2'
         )
         group = self.members()[0].status().group
-        # Without a leader nobody adds the wiped member meanwhile.
+        # Without a leader, no member can add the wiped one meanwhile.
         await host.wipe()
         await self.hosts[1].stop()
         await host.start()
@@ -319,7 +322,7 @@
                 term=9, last_index=9, last_term=9, pre_vote=False
             ),
         )
-        # By then the member knows of the group from its first answer.
+        # After 0.1 s the member has learned of the group by discovery.
         for _ in range(10):
             await asyncio.sleep(0.1)
             with self.assertRaises(errors.FulmarseamError):
@@ -328,8 +331,8 @@
         await self.hosts[1].start()
         await self.wait_for_voters(3, 'core-2')
 
-    async def test_a_member_that_nobody_lists_joins_again(self) -> None:
-        """Guards against a member added by a change that was lost."""
+    async def test_a_member_that_no_other_lists_joins_again(self) -> None:
+        """Guards against a member whose addition was lost with the leader."""
         self.hosts.append(self.make_host(3))
         host = self.hosts[3]
         group = self.members()[0].status().group
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Tests of the control daemon, in one process over loopback."""
+"""Tests of control daemons in one process, over loopback."""
 
 import asyncio
 import contextlib
@@ -77,8 +77,10 @@
         assert isinstance(answer, wire.SyncResponse), answer
         return answer
 
-    async def register(self, *targets: wire.TargetReport) -> wire.SyncResponse:
-        """Sync until the leader has nothing new for the entry."""
+    async def sync_until_unchanged(
+        self, *targets: wire.TargetReport
+    ) -> wire.SyncResponse:
+        """Sync until two responses in a row bring no new revision."""
         answer = await self.sync(
             fixtures.make_request(announcements=targets, wait_ms=0)
         )
@@ -109,7 +111,11 @@
 
 
 class SyncTest(GroupCase):
-    """Guards against late, lost or reverted news for entries."""
+    """Guards against entries that get changes late, not at all or reverted.
+
+    The leader holds sync requests until something changes, and it sends
+    only the rows changed since the version that the entry reports.
+    """
 
     async def test_entry_gets_tables_targets_and_grants(self) -> None:
         await self.edit('a')
@@ -123,7 +129,7 @@
         answer = first
         end = time.monotonic() + 2 * first.grant_ttl_ms / 1_000
         while not sum(grant.slots for grant in answer.grants):
-            # A new leader grants nothing until grants of others expired.
+            # A new leader issues no grants until former ones have expired.
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.1)
             target = msgspec.structs.replace(
@@ -137,11 +143,11 @@
         self.assertEqual(['t1'], [grant.target for grant in answer.grants])
         self.assertLessEqual(answer.grants[0].slots, 4)
 
-    async def test_answer_is_held_without_news_and_sent_with_news(
+    async def test_response_is_held_until_something_changes(
         self,
     ) -> None:
         await self.edit('a')
-        answer = await self.register()
+        answer = await self.sync_until_unchanged()
         started = time.monotonic()
         held = await self.sync(fixtures.make_request(answer=answer))
         self.assertGreater(time.monotonic() - started, 0.3)
@@ -159,7 +165,7 @@
         self.assertLess(time.monotonic() - started, 0.3)
 
     async def test_entry_rows_are_sent_only_when_they_changed(self) -> None:
-        answer = await self.register()
+        answer = await self.sync_until_unchanged()
         self.assertEqual([], answer.entries)
         poll = asyncio.create_task(
             self.sync(fixtures.make_request(answer=answer))
@@ -245,7 +251,11 @@
 
 
 class ThreeMembersTest(GroupCase):
-    """Guards against answers of members that do not lead."""
+    """Guards against answers of members that do not lead.
+
+    They come from followers, from a stopped leader and from a new leader
+    that takes over state of the former one.
+    """
 
     count = 3
 
@@ -264,10 +274,10 @@
                     (answer.kind, answer.leader),
                 )
 
-    async def test_new_leader_builds_its_state_anew(self) -> None:
+    async def test_new_leader_rebuilds_its_state(self) -> None:
         await self.edit('a')
         target = fixtures.make_target('t1')
-        answer = await self.register(target)
+        answer = await self.sync_until_unchanged(target)
         poll = asyncio.create_task(
             self.call(fixtures.make_request(answer=answer))
         )
--- a/tests/test_control_registrations.py
+++ b/tests/test_control_registrations.py
@@ -11,13 +11,17 @@
 from tests import test_control_steps
 
 SLOTS = 4
-# The grants have expired after 2.8 s and the last request must have ended
-# 10 s later, both with 1% drift.
+# Grants expire after 2.8 s, and the last request must have ended 10 s later,
+# both with a clock drift of 1%.
 LAPSED_S = 13.0
 
 
 class RegistrationTest(test_control_steps.LeaderCase):
-    """Guards against slots given away that an unheard entry still uses."""
+    """Guards against granting slots that a silent entry still uses.
+
+    That happens when a new leader does not know of an entry, because the
+    entry was not registered before its first grant or was removed too early.
+    """
 
     def setUp(self) -> None:
         super().setUp()
@@ -47,7 +51,7 @@
     def grant(self, now: float, info: wire.EntryInfo) -> int:
         self.sync(now, self.request(info))
         self.leadership.allocate(now)
-        grants = self.leadership.grants_for(now, info)
+        grants = self.leadership.issue_grants(now, info)
         return sum(grant.slots for grant in grants.slots)
 
     def change_leader(self, now: float) -> None:
@@ -61,7 +65,7 @@
         self.plan(0.0)
         self.assertEqual(SLOTS, self.grant(0.1, self.e1))
 
-    def test_new_leader_waits_for_an_entry_that_it_has_not_heard(self) -> None:
+    def test_new_leader_waits_for_a_silent_entry(self) -> None:
         self.grant(0.0, self.e1)
         self.plan(0.0)
         self.assertEqual(SLOTS, self.grant(0.1, self.e1))
@@ -76,7 +80,7 @@
             self.plan(now)
             self.assertEqual(slots, self.grant(now, info), name)
 
-    def test_new_leader_allocates_when_it_has_heard_all(self) -> None:
+    def test_new_leader_grants_once_all_entries_have_synced(self) -> None:
         self.sync(0.0, self.request(self.e1))
         self.plan(0.0)
         self.change_leader(1.0)
@@ -84,7 +88,7 @@
         self.sync(1.0, self.request(self.e2))
         self.plan(1.0)
         self.assertEqual(0, self.grant(1.1, self.e2))
-        grants = self.leadership.grants_for(1.1, self.e1)
+        grants = self.leadership.issue_grants(1.1, self.e1)
         self.sync(
             1.2,
             msgspec.structs.replace(
@@ -95,7 +99,7 @@
         )
         self.assertEqual(SLOTS, self.grant(1.3, self.e2))
 
-    def test_old_incarnation_is_forgotten_only_after_its_requests(
+    def test_old_incarnation_is_removed_only_after_its_requests(
         self,
     ) -> None:
         self.sync(0.0, self.request(self.e1))
--- a/tests/test_control_steps.py
+++ b/tests/test_control_steps.py
@@ -13,6 +13,7 @@
 from fulmarseam.control import _shifts
 from tests import control_fixtures as fixtures
 
+# By this time a new leader has waited for the reports of all entries.
 SETTLED = 100.0
 
 
@@ -47,11 +48,15 @@
 
     def sync(self, now: float, *requests: wire.SyncRequest) -> None:
         for request in requests:
-            self.leadership.record(now, request)
+            self.leadership.record_sync(now, request)
 
 
 class DrainTest(LeaderCase):
-    """Guards against drains that start late or end too early."""
+    """Guards against drains that start late or end too early.
+
+    A drain ends too early when the leader misses entries that are silent,
+    have not applied the drain or have not synced since it took over.
+    """
 
     def setUp(self) -> None:
         super().setUp()
@@ -99,7 +104,7 @@
         self.sync(SETTLED, self.request(0, 0))
         self.assertEqual('done', self.step(SETTLED))
 
-    def test_waits_until_it_is_in_force_on_every_entry(self) -> None:
+    def test_waits_until_every_entry_has_applied_it(self) -> None:
         stale = self.request(0, 0)
         self.step(SETTLED)
         self.sync(SETTLED, stale)
@@ -115,7 +120,7 @@
         self.step(0.1)
         self.assertEqual('active', self.step(5.9))
 
-    def test_other_domains_do_not_hold_it_up(self) -> None:
+    def test_does_not_wait_for_other_domains(self) -> None:
         self.step(SETTLED)
         self.sync(
             SETTLED,
@@ -129,7 +134,11 @@
 
 
 class ShiftTest(LeaderCase):
-    """Guards against shifts that exceed their cap or their target's room."""
+    """Guards against shifts beyond their cap or the free slots.
+
+    The receiving region may lack free slots, and a new leader may ramp up
+    before it has the reports of all entries.
+    """
 
     def setUp(self) -> None:
         super().setUp()
@@ -151,7 +160,7 @@
             ramp_s=100.0,
         )
 
-    def sync_room(self, now: float, busy: int) -> None:
+    def sync_busy(self, now: float, busy: int) -> None:
         target = fixtures.make_target('t1', slots=10, region='west')
         self.sync(
             now,
@@ -170,7 +179,7 @@
         return shift.state.value, shift.percent
 
     def test_ramp_is_timed_by_the_monotonic_clock(self) -> None:
-        self.sync_room(SETTLED, 0)
+        self.sync_busy(SETTLED, 0)
         self.assertEqual(('planned', 0.0), self.step(SETTLED, 499.0))
         self.assertEqual(('active', 0.0), self.step(SETTLED))
         self.assertEqual(('active', 4.0), self.step(SETTLED))
@@ -178,13 +187,13 @@
         self.assertEqual(('active', 8.0), self.step(SETTLED + 10.0, 100.0))
 
     def test_ramp_ends_at_the_cap(self) -> None:
-        self.sync_room(SETTLED, 0)
+        self.sync_busy(SETTLED, 0)
         for number in range(30):
             found = self.step(SETTLED + 10.0 * number)
         self.assertEqual(('active', 40.0), found)
 
-    def test_holds_without_room_and_goes_on_with_room(self) -> None:
-        self.sync_room(SETTLED, 0)
+    def test_holds_without_free_slots_and_resumes_with_them(self) -> None:
+        self.sync_busy(SETTLED, 0)
         self.step(SETTLED)
         self.step(SETTLED)
         for now, busy, expected in (
@@ -194,7 +203,7 @@
             (131.0, 7, ('active', 8.0)),
         ):
             with self.subTest(now=now):
-                self.sync_room(now, busy)
+                self.sync_busy(now, busy)
                 self.assertEqual(expected, self.step(now))
 
     def test_holds_without_any_target(self) -> None:
@@ -202,23 +211,27 @@
         self.assertEqual(('held', 0.0), self.step(SETTLED))
 
     def test_new_leader_does_not_ramp_before_it_has_reports(self) -> None:
-        self.sync_room(1.0, 0)
+        self.sync_busy(1.0, 0)
         self.step(1.0)
         self.assertEqual(('active', 0.0), self.step(2.0))
 
-    def test_ends_at_its_time_for_good(self) -> None:
-        self.sync_room(SETTLED, 0)
+    def test_ends_at_its_time_and_stays_done(self) -> None:
+        self.sync_busy(SETTLED, 0)
         self.step(SETTLED)
         self.step(SETTLED)
         self.assertEqual(('done', 0.0), self.step(SETTLED + 1, 900.0))
         self.assertEqual(('done', 0.0), self.step(SETTLED + 2, 600.0))
 
-    def test_end_before_the_start_was_seen(self) -> None:
+    def test_ends_even_if_its_start_was_missed(self) -> None:
         self.assertEqual(('done', 0.0), self.step(SETTLED, 901.0))
 
 
 class RecordGroupTest(LeaderCase):
-    """Guards against records that count as kept although they are lost."""
+    """Guards against lost records that count as kept.
+
+    A request could then run twice. Records are lost when a replica restarts
+    or falls silent before another one has a full copy.
+    """
 
     def setUp(self) -> None:
         super().setUp()
@@ -228,11 +241,11 @@
             'e2': fixtures.make_info('e2', domain='ost-b'),
             'e3': fixtures.make_info('e3', region='west', domain='west-a'),
         }
-        self.hear(SETTLED, 'e1', 'e2', 'e3')
+        self.sync_copies(SETTLED, 'e1', 'e2', 'e3')
         self.step(SETTLED)
 
-    def hear(self, now: float, *entries: str) -> None:
-        """Sync entries that hold full copies of the current generation."""
+    def sync_copies(self, now: float, *entries: str) -> None:
+        """Sync entries that report full copies of the current generation."""
         row = self.tables.get(wire.RecordGroup, 'ost')
         copies = [
             wire.RecordCopy(
@@ -253,7 +266,7 @@
         assert row is not None
         return row
 
-    def holders(self, row: wire.RecordGroup) -> tuple[str, str | None]:
+    def replicas(self, row: wire.RecordGroup) -> tuple[str, str | None]:
         return row.primary, row.backup
 
     def restart(self, now: float, entry: str) -> None:
@@ -266,23 +279,23 @@
     def test_backup_is_in_the_other_domain_and_counts_when_ready(self) -> None:
         row = self.tables.get(wire.RecordGroup, 'ost')
         assert row is not None
-        self.assertEqual(('e1', 'e2'), self.holders(row))
+        self.assertEqual(('e1', 'e2'), self.replicas(row))
         self.assertFalse(row.backup_ready)
         self.assertTrue(self.step(SETTLED).backup_ready)
 
     def test_survivor_becomes_primary_with_a_new_backup(self) -> None:
         self.step(SETTLED)
-        self.hear(SETTLED + 6.0, 'e2', 'e3')
+        self.sync_copies(SETTLED + 6.0, 'e2', 'e3')
         self.assertEqual('e1', self.step(SETTLED + 6.0).primary)
-        self.hear(SETTLED + 6.1, 'e2', 'e3')
+        self.sync_copies(SETTLED + 6.1, 'e2', 'e3')
         row = self.step(SETTLED + 6.1)
-        self.assertEqual(('e2', 'e3'), self.holders(row))
+        self.assertEqual(('e2', 'e3'), self.replicas(row))
         self.assertEqual((2, 0), (row.generation, row.lost_before))
         self.assertFalse(row.backup_ready)
 
     def test_second_loss_before_the_copy_loses_the_records(self) -> None:
         self.step(SETTLED)
-        self.hear(SETTLED + 6.1, 'e2', 'e3')
+        self.sync_copies(SETTLED + 6.1, 'e2', 'e3')
         self.step(SETTLED + 6.1)
         self.restart(SETTLED + 6.2, 'e2')
         row = self.step(SETTLED + 6.2)
@@ -292,7 +305,7 @@
         self.step(SETTLED)
         self.restart(SETTLED + 0.5, 'e1')
         row = self.step(SETTLED + 0.5)
-        self.assertEqual(('e2', 'e1'), self.holders(row))
+        self.assertEqual(('e2', 'e1'), self.replicas(row))
         self.assertEqual((2, 0), (row.generation, row.lost_before))
         self.assertEqual(2, row.backup_incarnation)
 
@@ -308,64 +321,64 @@
         )
         self.assertFalse(self.step(SETTLED + 0.6).backup_ready)
 
-    def test_loss_of_both_fences_all_older_records(self) -> None:
+    def test_loss_of_both_replicas_marks_older_records_lost(self) -> None:
         self.step(SETTLED)
         self.infos['e4'] = fixtures.make_info('e4', domain='ost-b')
-        self.hear(SETTLED + 6.1, 'e3', 'e4')
+        self.sync_copies(SETTLED + 6.1, 'e3', 'e4')
         row = self.step(SETTLED + 6.1)
-        self.assertEqual(('e4', 'e3'), self.holders(row))
+        self.assertEqual(('e4', 'e3'), self.replicas(row))
         self.assertEqual((2, 2), (row.generation, row.lost_before))
 
-    def test_restarted_holder_keeps_the_group_it_has_a_journal_of(
+    def test_restarted_replicas_are_preferred_for_their_journals(
         self,
     ) -> None:
         self.step(SETTLED)
         self.infos['e0'] = fixtures.make_info('e0')
-        self.hear(SETTLED, 'e0')
+        self.sync_copies(SETTLED, 'e0')
         self.restart(SETTLED + 0.5, 'e1')
         self.restart(SETTLED + 0.5, 'e2')
         row = self.step(SETTLED + 0.5)
-        self.assertEqual(('e1', 'e2'), self.holders(row))
+        self.assertEqual(('e1', 'e2'), self.replicas(row))
         self.assertEqual((2, 2), (row.generation, row.lost_before))
 
-    def test_backup_comes_home_when_the_region_has_a_domain_again(
+    def test_backup_returns_to_the_region_when_a_domain_is_back(
         self,
     ) -> None:
         self.step(SETTLED)
-        self.hear(SETTLED + 6.1, 'e1', 'e3')
-        self.assertEqual(('e1', 'e3'), self.holders(self.step(SETTLED + 6.1)))
-        self.hear(SETTLED + 6.2, 'e1', 'e2', 'e3')
+        self.sync_copies(SETTLED + 6.1, 'e1', 'e3')
+        self.assertEqual(('e1', 'e3'), self.replicas(self.step(SETTLED + 6.1)))
+        self.sync_copies(SETTLED + 6.2, 'e1', 'e2', 'e3')
         row = self.step(SETTLED + 6.2)
-        self.assertEqual(('e1', 'e2'), self.holders(row))
+        self.assertEqual(('e1', 'e2'), self.replicas(row))
         self.assertFalse(row.backup_ready)
 
-    def test_draining_primary_hands_over_to_a_ready_backup(self) -> None:
+    def test_ready_backup_replaces_a_draining_primary(self) -> None:
         self.step(SETTLED)
         self.sync(
             SETTLED, fixtures.make_request(self.infos['e1'], draining=True)
         )
         row = self.step(SETTLED)
-        self.assertEqual(('e2', 'e3'), self.holders(row))
+        self.assertEqual(('e2', 'e3'), self.replicas(row))
         self.assertEqual(0, row.lost_before)
 
     def test_draining_primary_stays_as_backup_without_another_entry(
         self,
     ) -> None:
         self.step(SETTLED)
-        self.hear(SETTLED + 7.0, 'e1', 'e2')
+        self.sync_copies(SETTLED + 7.0, 'e1', 'e2')
         self.leadership.expire(SETTLED + 7.0)
         draining = fixtures.make_request(self.infos['e1'], draining=True)
         self.sync(SETTLED + 7.0, draining)
         row = self.step(SETTLED + 7.0)
-        self.assertEqual(('e2', 'e1'), self.holders(row))
+        self.assertEqual(('e2', 'e1'), self.replicas(row))
 
     def test_draining_backup_is_replaced(self) -> None:
-        self.assertEqual(('e1', 'e2'), self.holders(self.step(SETTLED)))
+        self.assertEqual(('e1', 'e2'), self.replicas(self.step(SETTLED)))
         draining = fixtures.make_request(self.infos['e2'], draining=True)
         self.sync(SETTLED, draining)
-        self.assertEqual(('e1', 'e3'), self.holders(self.step(SETTLED)))
+        self.assertEqual(('e1', 'e3'), self.replicas(self.step(SETTLED)))
 
-    def test_new_leader_replaces_no_holder_it_has_not_heard_yet(self) -> None:
+    def test_new_leader_does_not_replace_silent_replicas_at_once(self) -> None:
         row = self.step(SETTLED)
         self.leadership = _leadership.Leadership(
             SETTLED,
@@ -376,7 +389,7 @@
             self.tables,
         )
         self.planner = _groups.GroupPlanner()
-        self.hear(SETTLED + 1.0, 'e3')
+        self.sync_copies(SETTLED + 1.0, 'e3')
         self.assertEqual(row, self.step(SETTLED + 5.9))
 
     def test_generations_are_rotated_and_dropped_after_a_day(self) -> None:
@@ -384,11 +397,11 @@
         hour = 3_600.0
         for count in range(1, 35):
             now = SETTLED + count * hour
-            self.hear(now, 'e1', 'e2', 'e3')
+            self.sync_copies(now, 'e1', 'e2', 'e3')
             row = self.step(now)
             self.assertLessEqual(count / 12, row.generation)
             if count < 30:
                 self.assertLessEqual(row.lost_before, 1)
-        self.assertEqual(('e1', 'e2'), self.holders(row))
+        self.assertEqual(('e1', 'e2'), self.replicas(row))
         self.assertGreater(row.lost_before, 1)
         self.assertTrue(row.backup_ready)
--- a/tests/test_records_model.py
+++ b/tests/test_records_model.py
@@ -212,7 +212,7 @@
             now = asyncio.get_running_loop().time()
             self.entries.expire(now)
             live = [
-                _groups.Holder(
+                _groups.Replica(
                     row.info.entry,
                     row.info.incarnation,
                     row.info.region,
@@ -224,9 +224,9 @@
             if not live:
                 continue
             if self.group is None:
-                row = _groups._found_group(REGION, live)
+                row = _groups._create_group(REGION, live)
             else:
-                row = _groups._repair(now, self.group, self, live)
+                row = _groups._repair_group(now, self.group, self, live)
             if row != self.group:
                 self.group = row
                 self.revision += 1
