--- a/fulmarseam/control/_admin.py
+++ b/fulmarseam/control/_admin.py
@@ -79,7 +79,7 @@
             raise errors.NotLeaderError(self._member.leader())
         tables = self._machine.tables
         names = request.tables or list(wire.TableName)
-        plain = [name for name in names if name in store.PLAIN_TABLES]
+        plain = [name for name in names if name in store.ROW_ENCODED_TABLES]
         return wire.TablesResponse(
             revision=tables.revision,
             versions={
--- a/fulmarseam/store/__init__.py
+++ b/fulmarseam/store/__init__.py
@@ -1,11 +1,11 @@
-"""The replicated tables as a pure state machine.
+"""The replicated tables as a state machine without input/output.
 
 `Machine` applies the commands of the replicated log. `Tables` holds the
-rows at one revision and is what an entry keeps as well::
+rows at one revision; entries keep a copy of it::
 
     machine = store.Machine()
     result = wire.decode(machine.apply(store.encode_command(edit)))
-    difference = machine.tables.changes_since(7)
+    update = machine.tables.changes_since(7)
 """
 
 from fulmarseam.store._commands import Command
@@ -13,7 +13,7 @@
 from fulmarseam.store._commands import encode_command
 from fulmarseam.store._commands import RowStep
 from fulmarseam.store._commands import Step
-from fulmarseam.store._journal import Journal
+from fulmarseam.store._journal import ChangeJournal
 from fulmarseam.store._journal import JournalEntry
 from fulmarseam.store._machine import Machine
 from fulmarseam.store._machine import MAX_CHANGES
@@ -25,20 +25,20 @@
 from fulmarseam.store._schema import make_change
 from fulmarseam.store._schema import ROW_TYPES
 from fulmarseam.store._schema import TABLE_NAMES
-from fulmarseam.store._tables import Difference
-from fulmarseam.store._tables import PLAIN_TABLES
+from fulmarseam.store._tables import ROW_ENCODED_TABLES
 from fulmarseam.store._tables import Tables
+from fulmarseam.store._tables import TablesUpdate
 
 __all__ = [
     'EDITABLE_TABLES',
-    'PLAIN_TABLES',
+    'ROW_ENCODED_TABLES',
     'ROW_TYPES',
     'TABLE_NAMES',
     'Command',
-    'Difference',
+    'TablesUpdate',
     'DictRows',
     'EditResults',
-    'Journal',
+    'ChangeJournal',
     'JournalEntry',
     'MAX_CHANGES',
     'Machine',
--- a/fulmarseam/store/_journal.py
+++ b/fulmarseam/store/_journal.py
@@ -1,4 +1,4 @@
-"""The recent changes of the tables, to answer readers with differences."""
+"""The recent changes of the tables, for incremental updates of readers."""
 
 import collections
 from collections.abc import Sequence
@@ -6,29 +6,29 @@
 
 from fulmarseam import wire
 
-JOURNAL_REVISIONS = 10_000
-# A restored snapshot may change every row in one revision. Beyond this many
-# rows the whole state is the smaller answer.
-JOURNAL_ROWS = 100_000
+MAX_JOURNAL_REVISIONS = 10_000
+# A restore may change every row in one revision. Beyond this many changed
+# rows, sending the whole state is smaller.
+MAX_JOURNAL_ROWS = 100_000
 
 
 class JournalEntry(NamedTuple):
-    """The changes that led to one revision."""
+    """The changes that led to a revision."""
 
     revision: int
     changes: Sequence[wire.Change]
 
 
-class Journal:
-    """The changes of the last revisions, oldest first."""
+class ChangeJournal:
+    """Keeps the changes of the last revisions, oldest first."""
 
     def __init__(
         self,
-        revisions: int = JOURNAL_REVISIONS,
-        rows: int = JOURNAL_ROWS,
+        max_revisions: int = MAX_JOURNAL_REVISIONS,
+        max_rows: int = MAX_JOURNAL_ROWS,
     ) -> None:
-        self._max_revisions = revisions
-        self._max_rows = rows
+        self._max_revisions = max_revisions
+        self._max_rows = max_rows
         self._entries: collections.deque[JournalEntry] = collections.deque()
         self._row_count = 0
 
@@ -43,7 +43,7 @@
             self._row_count -= len(self._entries.popleft().changes)
 
     def clear(self) -> None:
-        """Forget all changes."""
+        """Remove all changes."""
         self._entries.clear()
         self._row_count = 0
 
@@ -54,22 +54,22 @@
     def changes_after(
         self, revision: int, current: int
     ) -> list[wire.Change] | None:
-        """Return the last change of each row changed after a revision.
+        """Return the last change of each row that changed after a revision.
 
         Returns None when the journal does not reach back that far.
         """
         if revision == current:
             return []
-        found: list[JournalEntry] = []
+        newer: list[JournalEntry] = []
         for entry in reversed(self._entries):
             if entry.revision <= revision:
                 break
-            found.append(entry)
-        oldest = found[-1].revision if found else None
+            newer.append(entry)
+        oldest = newer[-1].revision if newer else None
         if oldest != revision + 1:
             return None
         last: dict[tuple[wire.TableName, str], wire.Change] = {}
-        for entry in reversed(found):
+        for entry in reversed(newer):
             for change in entry.changes:
                 key = (change.table, change.key)
                 last.pop(key, None)
--- a/fulmarseam/store/_machine.py
+++ b/fulmarseam/store/_machine.py
@@ -20,10 +20,10 @@
 from fulmarseam.store import _validation
 
 MAX_EDIT_ID_LENGTH = 128
-# Applying takes about 50 us a change on the event loop of every member, and
-# a leader that stops for 600 ms loses its leadership.
+# Applying a change takes about 50 us on the event loop of every member, and a
+# leader whose event loop is blocked for 600 ms loses its leadership.
 MAX_CHANGES = 2_000
-_NO_EDIT = ids.EditId('')
+_NO_EDIT_ID = ids.EditId('')
 
 
 class TableVersion(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
 
 
 class _Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole replicated state."""
+    """The complete replicated state."""
 
     revision: int
     tables: list[tuple[wire.TableName, bytes]]
@@ -50,7 +50,7 @@
 class Machine:
     """Applies the commands of the replicated log to the tables.
 
-    Applying is deterministic: members that apply the same commands hold
+    Applying is deterministic: members that apply the same commands have
     the same state. `notify` is called after each change of the tables.
     """
 
@@ -65,13 +65,13 @@
         self._notify = notify
 
     def table_version(self, table: wire.TableName) -> int:
-        """Return the version of a table, to base an edit on.
+        """Return the version of a table that an edit has to be based on.
 
-        It is the revision of the last edit of the table; steps of the
-        leader do not change it.
+        It is the revision of the last edit of the table. Steps of the leader
+        do not change it.
         """
-        found = self._versions.get(table)
-        return found.revision if found else 0
+        version = self._versions.get(table)
+        return version.revision if version else 0
 
     def apply(self, command: bytes) -> bytes:
         """Apply one command and return an encoded `wire.EditResult`.
@@ -85,18 +85,20 @@
         try:
             command = _commands.decode_command(data)
         except errors.WireError as error:
-            return self._refuse(
-                _NO_EDIT, errors.ErrorKind.MALFORMED_MESSAGE, [error.detail]
+            return self._make_refusal(
+                _NO_EDIT_ID, errors.ErrorKind.MALFORMED_MESSAGE, [error.detail]
             )
         if isinstance(command, _commands.Step):
             return self._apply_step(command)
-        return self._apply_once(command)
+        return self._apply_edit_once(command)
 
-    def _apply_once(self, edit: wire.Edit | wire.Restore) -> wire.EditResult:
-        """Apply an edit, or return its first result if it was applied."""
+    def _apply_edit_once(
+        self, edit: wire.Edit | wire.Restore
+    ) -> wire.EditResult:
+        """Apply an edit, or return the stored result of a resent one."""
         if not 0 < len(edit.edit_id) <= MAX_EDIT_ID_LENGTH:
-            return self._refuse(
-                _NO_EDIT,
+            return self._make_refusal(
+                _NO_EDIT_ID,
                 errors.ErrorKind.INVALID_EDIT,
                 [
                     f'edit_id: found {len(edit.edit_id)} characters, '
@@ -108,7 +110,7 @@
         if stored is not None:
             if stored.digest == digest:
                 return stored.result
-            return self._refuse(
+            return self._make_refusal(
                 edit.edit_id,
                 errors.ErrorKind.EDIT_ID_CONFLICT,
                 [
@@ -124,9 +126,9 @@
         return result
 
     def _apply_edit(self, edit: wire.Edit) -> wire.EditResult:
-        problems = list(_check_shape(edit))
+        problems = list(_check_edit(edit))
         if problems:
-            return self._refuse_edit(edit.edit_id, problems)
+            return self._refuse_invalid(edit.edit_id, problems)
         conflict = self._find_conflict(edit)
         if conflict is not None:
             return conflict
@@ -140,7 +142,7 @@
             problems.extend(_transitions.check_edit(merged, current))
             if merged.row != current:
                 changes.append(merged)
-        return self._accept(
+        return self._apply_if_valid(
             edit.edit_id, changes, problems, blocks=edit.blocks
         )
 
@@ -152,21 +154,21 @@
         )
         problems = list(_check_rows(shape))
         changes = _restoring.plan_restore(self.tables, restore.export)
-        # Entries never go back to a lower revision, so rows restored into
-        # an empty group need a revision above the exported one.
+        # Entries ignore lower revisions than their own, so rows restored
+        # into an empty group need a revision above the exported one.
         floor = max(0, restore.export.revision)
-        return self._accept(
+        return self._apply_if_valid(
             restore.edit_id, changes, problems, floor, restore.export.blocks
         )
 
     def _find_conflict(self, edit: wire.Edit) -> wire.EditResult | None:
         for table in wire.TableName:
-            found = self._versions.get(table)
+            current = self._versions.get(table)
             if table not in edit.base or edit.base[table] == (
-                found.revision if found else 0
+                current.revision if current else 0
             ):
                 continue
-            winner = found or TableVersion(0, _NO_EDIT)
+            winner = current or TableVersion(0, _NO_EDIT_ID)
             return wire.EditResult(
                 edit_id=edit.edit_id,
                 revision=winner.revision,
@@ -180,7 +182,7 @@
             )
         return None
 
-    def _accept(
+    def _apply_if_valid(
         self,
         edit_id: ids.EditId,
         changes: list[wire.Change],
@@ -188,43 +190,45 @@
         floor: int = 0,
         blocks: bytes = b'',
     ) -> wire.EditResult:
-        """Change the rows if the tables are valid afterwards.
+        """Apply changes if the tables are valid afterwards.
 
-        `blocks` is an image that replaces the blocks table first, and the
-        new revision is above `floor`.
+        `blocks` is an image that replaces the blocks table first. The new
+        revision is above `floor`.
         """
-        unusable = _find_block_problems(changes)
-        if unusable:
-            return self._refuse_edit(edit_id, problems + unusable)
-        former = self.tables.dump_blocks() if blocks else b''
-        if blocks != former:
+        block_problems = _find_block_problems(changes)
+        if block_problems:
+            return self._refuse_invalid(edit_id, problems + block_problems)
+        former_blocks = self.tables.dump_blocks() if blocks else b''
+        if blocks != former_blocks:
             try:
                 self.tables.load_blocks(blocks)
             except errors.WireError as error:
-                return self._refuse_edit(edit_id, [error.detail])
-        undo = self._list_current(changes)
+                return self._refuse_invalid(edit_id, [error.detail])
+        undo = self._list_undo_changes(changes)
         self.tables.change_rows(changes)
-        found = _validation.validate(self.tables, changes, bool(blocks))
-        problems.extend(line for line in found if line not in problems)
+        new_problems = _validation.validate(self.tables, changes, bool(blocks))
+        problems.extend(line for line in new_problems if line not in problems)
         if problems:
             self.tables.change_rows(reversed(undo))
-            if blocks != former:
-                self.tables.load_blocks(former)
-            return self._refuse_edit(edit_id, problems)
-        if changes or blocks != former or floor > self.tables.revision:
+            if blocks != former_blocks:
+                self.tables.load_blocks(former_blocks)
+            return self._refuse_invalid(edit_id, problems)
+        if changes or blocks != former_blocks or floor > self.tables.revision:
             revision = max(self.tables.revision, floor) + 1
             self.tables.advance(
-                revision, changes if blocks == former else None
+                revision, changes if blocks == former_blocks else None
             )
-            touched = {change.table for change in changes}
-            if blocks != former:
-                touched.add(wire.TableName.BLOCKS)
-            self._set_versions(revision, edit_id, touched)
+            changed_tables = {change.table for change in changes}
+            if blocks != former_blocks:
+                changed_tables.add(wire.TableName.BLOCKS)
+            self._set_versions(revision, edit_id, changed_tables)
             self._notify()
         return wire.EditResult(edit_id=edit_id, revision=self.tables.revision)
 
-    def _list_current(self, changes: list[wire.Change]) -> list[wire.Change]:
-        """Return the changes that bring the present rows back."""
+    def _list_undo_changes(
+        self, changes: list[wire.Change]
+    ) -> list[wire.Change]:
+        """Return the changes that restore the current rows."""
         return [
             wire.Change(
                 change.table,
@@ -240,49 +244,52 @@
         edit_id: ids.EditId,
         tables: Iterable[wire.TableName],
     ) -> None:
-        """Note the edit in the tables changed; steps are no edits."""
-        if edit_id == _NO_EDIT:
+        """Set the version of the changed tables, unless by a step."""
+        if edit_id == _NO_EDIT_ID:
             return
         for table in tables:
             self._versions[table] = TableVersion(revision, edit_id)
 
     def _apply_step(self, step: _commands.Step) -> wire.EditResult:
         changes = []
-        for item in step.rows:
-            change = _schema.make_change(item.row)
+        for row_step in step.rows:
+            change = _schema.make_change(row_step.row)
             current = self.tables.get_row(change.table, change.key)
-            if current != item.expected or not _transitions.check_step(
-                current, item.row
+            if (
+                current != row_step.expected
+                or not _transitions.is_allowed_step(current, row_step.row)
             ):
-                return self._refuse(
-                    _NO_EDIT,
+                return self._make_refusal(
+                    _NO_EDIT_ID,
                     errors.ErrorKind.VERSION_CONFLICT,
                     [
                         f'{change.table.value}.{change.key}: found another '
                         f'row than the step expects'
                     ],
                 )
-            if current != item.row:
+            if current != row_step.row:
                 changes.append(change)
-        return self._accept(_NO_EDIT, changes, [])
+        return self._apply_if_valid(_NO_EDIT_ID, changes, [])
 
-    def _refuse_edit(
+    def _refuse_invalid(
         self, edit_id: ids.EditId, problems: list[str]
     ) -> wire.EditResult:
-        return self._refuse(edit_id, errors.ErrorKind.INVALID_EDIT, problems)
+        return self._make_refusal(
+            edit_id, errors.ErrorKind.INVALID_EDIT, problems
+        )
 
-    def _refuse(
+    def _make_refusal(
         self, edit_id: ids.EditId, kind: errors.ErrorKind, problems: list[str]
     ) -> wire.EditResult:
         return wire.EditResult(
             edit_id=edit_id,
             revision=self.tables.revision,
             kind=kind.value,
-            problems=_results.bound_problems(problems),
+            problems=_results.truncate_problems(problems),
         )
 
     def snapshot(self) -> bytes:
-        """Return the whole state in a form for `restore`."""
+        """Return the complete state, encoded for `restore`."""
         return _encoder.encode(
             _Snapshot(
                 revision=self.tables.revision,
@@ -296,29 +303,29 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot.
+        """Replace the complete state with a snapshot.
 
         Raises `errors.DamagedDataError` when it cannot be decoded.
         """
         try:
-            found = _decoder.decode(data)
+            state = _decoder.decode(data)
             self.tables.load_tables(
-                found.revision, found.tables, found.journal
+                state.revision, state.tables, state.journal
             )
         except ValueError as error:
             raise errors.DamagedDataError(
                 f'snapshot of the tables: {error}'
             ) from error
-        self._versions = dict(found.versions)
-        self.results.load(found.results)
+        self._versions = dict(state.versions)
+        self.results.load(state.results)
         self._notify()
 
 
 def _find_block_problems(changes: Iterable[wire.Change]) -> list[str]:
     """Return the problems of single blocks.
 
-    The block table can hold valid blocks only, so these are found before
-    the rest of an edit is tried.
+    The blocks table can store valid blocks only, so these problems are
+    found before the edit is applied.
     """
     return [
         line
@@ -328,8 +335,8 @@
     ]
 
 
-def _check_shape(edit: wire.Edit) -> Iterator[str]:
-    """Report changes that no operator's edit may hold."""
+def _check_edit(edit: wire.Edit) -> Iterator[str]:
+    """Report changes that an operator's edit may not contain."""
     if len(edit.changes) > MAX_CHANGES:
         yield (
             f'changes: found {len(edit.changes)}, expected at most '
@@ -344,7 +351,7 @@
         if name not in _schema.EDITABLE_TABLES:
             yield f'{table}: is maintained by the control leader'
         elif name not in edit.base:
-            yield f'{table}: found no base version, expected one'
+            yield f'{table}: found no base version, expected the current one'
     yield from _check_rows(edit)
 
 
@@ -359,6 +366,9 @@
             continue
         expected = _schema.ROW_TYPES[change.table]
         if type(change.row) is not expected:
-            yield f'{name}: found a row of another table'
+            yield (
+                f'{name}: found a row of another type, expected that of '
+                f'the table'
+            )
         elif change.row.name != change.key:
             yield f'{name}: found name {change.row.name!r}, expected its key'
--- a/fulmarseam/store/_restoring.py
+++ b/fulmarseam/store/_restoring.py
@@ -1,4 +1,4 @@
-"""The changes that bring exported rows back on top of the current tables."""
+"""Planning of restores of exported rows."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 from fulmarseam.store import _tables
 from fulmarseam.store import _transitions
 
-_FINAL = frozenset(
+_FINAL_STATES = frozenset(
     {
         wire.DrainState.CANCELLED,
         wire.ShiftState.DONE,
@@ -18,14 +18,13 @@
 def plan_restore(
     tables: _tables.Tables, export: wire.Export
 ) -> list[wire.Change]:
-    """Return the changes of a restore.
+    """Return the changes that restore an export.
 
     Routes, pools, links and blocks become those of the export. Drains and
-    shifts keep the state that they have now, and those that are not final
-    stay although the export lacks them. Registrations are not restored.
-    Record groups never go back: the current rows stay, and a group that
-    exists only in the export returns under a new generation as if its
-    records were lost.
+    shifts keep their current state, and those that are not final stay even
+    if the export lacks them. Registrations are not restored. Current record
+    groups stay; a group that exists only in the export is restored with a
+    new generation, as if its records were lost.
     """
     wanted: dict[tuple[wire.TableName, str], wire.Row] = {}
     for change in export.changes:
@@ -36,9 +35,9 @@
     changes = [
         wire.Change(table, key, None)
         for table in (
-            _tables.PLAIN_TABLES if export.blocks else wire.TableName
+            _tables.ROW_ENCODED_TABLES if export.blocks else wire.TableName
         )
-        for key, row in _items(tables, table)
+        for key, row in _list_rows(tables, table)
         if (table, key) not in wanted and _may_remove(row)
     ]
     changes.extend(
@@ -49,7 +48,7 @@
     return changes
 
 
-def _items(
+def _list_rows(
     tables: _tables.Tables, table: wire.TableName
 ) -> list[tuple[str, wire.Row]]:
     return [(row.name, row) for row in tables.table(table).rows()]
@@ -59,7 +58,7 @@
     if isinstance(row, (wire.RecordGroup, wire.Registration)):
         return False
     if isinstance(row, (wire.Drain, wire.Shift)):
-        return row.state in _FINAL
+        return row.state in _FINAL_STATES
     return True
 
 
@@ -67,10 +66,10 @@
     if isinstance(row, wire.RecordGroup):
         return current or _restart_group(row)
     if isinstance(row, (wire.Drain, wire.Shift)) and current is not None:
-        if row.state in _FINAL:
+        if row.state in _FINAL_STATES:
             return current
         return _transitions.merge_edit(current, row)
-    if isinstance(row, wire.Shift) and row.state not in _FINAL:
+    if isinstance(row, wire.Shift) and row.state not in _FINAL_STATES:
         return msgspec.structs.replace(
             row, state=wire.ShiftState.PLANNED, percent=0.0
         )
--- a/fulmarseam/store/_rows.py
+++ b/fulmarseam/store/_rows.py
@@ -13,10 +13,10 @@
 
 
 class RowTable(Protocol):
-    """The rows of one table by key.
+    """Stores the rows of one table by key.
 
     The blocks table has a compact implementation, since a Python object
-    for each of 490,000 rows would not fit the memory bound of an entry.
+    for each of 490,000 rows would exceed the memory limit of an entry.
     """
 
     def get(self, key: str) -> wire.Row | None:
@@ -32,7 +32,7 @@
         """Remove all rows."""
 
     def rows(self) -> Iterator[wire.Row]:
-        """Return all rows in an order that depends on the rows only."""
+        """Return all rows, in an order that does not depend on insertion."""
 
     def dump(self) -> bytes:
         """Return all rows in a form for `load`."""
@@ -48,7 +48,7 @@
 
 
 class DictRows:
-    """Rows in a dictionary, for tables of up to some thousand rows."""
+    """Stores rows in a dictionary, for tables of a few thousand rows."""
 
     def __init__(self) -> None:
         self._rows: dict[str, wire.Row] = {}
@@ -90,7 +90,7 @@
 
 
 class BlockRows:
-    """Rows of the blocks table in compact arrays."""
+    """Stores the rows of the blocks table in compact arrays."""
 
     def __init__(self) -> None:
         self.blocks = blocks.BlockTable()
--- a/fulmarseam/store/_schema.py
+++ b/fulmarseam/store/_schema.py
@@ -1,4 +1,4 @@
-"""The row type of each table, and which tables operators may edit."""
+"""The row type of each table, and the tables that operators may edit."""
 
 from typing import Any
 
--- a/fulmarseam/store/_tables.py
+++ b/fulmarseam/store/_tables.py
@@ -14,17 +14,17 @@
 from fulmarseam.store import _rows
 from fulmarseam.store import _schema
 
-# Tables that are sent row by row; the blocks table has an image.
-PLAIN_TABLES = tuple(
+# The blocks table is sent as an image instead.
+ROW_ENCODED_TABLES = tuple(
     name for name in wire.TableName if name is not wire.TableName.BLOCKS
 )
 RowT = TypeVar('RowT', bound=wire.Row)
 
 
-class Difference(NamedTuple):
-    """What brings a reader to `revision`.
+class TablesUpdate(NamedTuple):
+    """The changes that bring a reader to `revision`.
 
-    With `full` the changes replace all rows of the reader, and `blocks` is
+    If `full` is set, they replace all rows of the reader, and `blocks` is
     the image of its blocks table.
     """
 
@@ -35,25 +35,22 @@
 
 
 class Tables:
-    """All replicated rows at one revision.
+    """Holds all replicated rows at one revision.
 
     The control members change them through the log. An entry keeps a copy
-    and applies the differences that the leader sends::
+    and applies the updates that the leader sends::
 
-        difference = leader_tables.changes_since(entry_tables.revision)
+        update = leader_tables.changes_since(entry_tables.revision)
         entry_tables.apply_changes(
-            difference.revision,
-            difference.changes,
-            difference.full,
-            difference.blocks,
+            update.revision, update.changes, update.full, update.blocks
         )
 
     `find_region` looks up addresses in the blocks table.
     """
 
-    def __init__(self, journal: _journal.Journal | None = None) -> None:
+    def __init__(self, journal: _journal.ChangeJournal | None = None) -> None:
         self.revision = 0
-        self.journal = journal or _journal.Journal()
+        self.journal = journal or _journal.ChangeJournal()
         self._blocks = _rows.BlockRows()
         self._tables: dict[wire.TableName, _rows.RowTable] = {
             table: _rows.DictRows() for table in wire.TableName
@@ -61,7 +58,7 @@
         self._tables[wire.TableName.BLOCKS] = self._blocks
 
     def find_region(self, address: str) -> ids.RegionName | None:
-        """Return the region of the longest block that holds an address.
+        """Return the region of the longest prefix that contains an address.
 
         Raises `ValueError` when the address is not valid.
         """
@@ -95,23 +92,23 @@
             for row in self._tables[name].rows()
         ]
 
-    def changes_since(self, revision: int) -> Difference:
-        """Return what brings a reader from its revision to the current.
+    def changes_since(self, revision: int) -> TablesUpdate:
+        """Return the changes from a reader's revision to the current one.
 
-        A reader ahead of these tables gets nothing, so that it never goes
-        back.
+        A reader ahead of these tables gets no changes, so that it never
+        returns to an older state.
         """
         if revision > self.revision:
-            return Difference(self.revision, False, [])
+            return TablesUpdate(self.revision, False, [])
         changes = self.journal.changes_after(revision, self.revision)
         if changes is None:
-            return Difference(
+            return TablesUpdate(
                 self.revision,
                 True,
-                self.dump(PLAIN_TABLES),
+                self.dump(ROW_ENCODED_TABLES),
                 self.dump_blocks(),
             )
-        return Difference(self.revision, False, changes)
+        return TablesUpdate(self.revision, False, changes)
 
     def apply_changes(
         self,
@@ -120,11 +117,11 @@
         full: bool,
         blocks: bytes = b'',
     ) -> bool:
-        """Move to a higher revision; return whether anything was applied.
+        """Advance to a higher revision; return whether anything was applied.
 
         Changes for the current or an older revision are ignored. Raises
-        `errors.WireError` when the image of the blocks is damaged, with
-        nothing applied.
+        `errors.WireError` when the image of the blocks is damaged; nothing
+        is applied then.
         """
         if revision <= self.revision:
             return False
@@ -133,11 +130,11 @@
                 self.load_blocks(blocks)
             else:
                 self._blocks.clear()
-            for name in PLAIN_TABLES:
+            for name in ROW_ENCODED_TABLES:
                 self._tables[name].clear()
         self.change_rows(changes)
-        # The revisions in between are not known one by one, so the journal
-        # starts anew.
+        # The changes of each skipped revision are unknown, so the journal
+        # cannot continue and is cleared.
         is_next = not full and revision == self.revision + 1
         self.advance(revision, changes if is_next else None)
         return True
@@ -145,10 +142,10 @@
     def advance(
         self, revision: int, changes: Sequence[wire.Change] | None
     ) -> None:
-        """Move to a revision whose changes have been made to the rows.
+        """Advance to a revision whose changes the rows already contain.
 
-        Without the list of changes, readers of older revisions get the
-        whole state.
+        Without the list of changes, readers at older revisions get the
+        complete state.
         """
         if changes is None:
             self.journal.clear()
@@ -163,8 +160,8 @@
     def load_blocks(self, image: bytes) -> None:
         """Replace the blocks table.
 
-        Raises `errors.WireError` when the image is damaged, with the table
-        unchanged.
+        Raises `errors.WireError` when the image is damaged; the table is
+        unchanged then.
         """
         try:
             self._blocks.load(image)
@@ -176,7 +173,7 @@
         return self._blocks.blocks.regions()
 
     def dump_tables(self) -> list[tuple[wire.TableName, bytes]]:
-        """Return all rows in a compact form for `load_tables`."""
+        """Return all rows in a compact encoding for `load_tables`."""
         return [(name, table.dump()) for name, table in self._tables.items()]
 
     def load_tables(
@@ -185,7 +182,7 @@
         tables: Iterable[tuple[wire.TableName, bytes]],
         journal: Iterable[_journal.JournalEntry],
     ) -> None:
-        """Replace rows, revision and journal by those of a snapshot.
+        """Replace rows, revision and journal with those of a snapshot.
 
         Raises `ValueError` when the data is damaged.
         """
@@ -199,7 +196,7 @@
             self.journal.append(entry.revision, entry.changes)
 
     def change_rows(self, changes: Iterable[wire.Change]) -> None:
-        """Set and remove rows without a new revision."""
+        """Set and remove rows without advancing the revision."""
         for change in changes:
             table = self._tables[change.table]
             if change.row is None:
--- a/fulmarseam/store/_transitions.py
+++ b/fulmarseam/store/_transitions.py
@@ -1,7 +1,7 @@
-"""Which changes of a row are allowed from the row it replaces.
+"""The allowed changes of a row, given the row that it replaces.
 
-Operators own the plan in a drain or shift; the control leader owns the
-state and the percentage in force. States only move forward.
+Operators set the plan of a drain or shift; the control leader sets the state
+and the percentage in force. States only move forward.
 """
 
 from collections.abc import Iterator
@@ -28,7 +28,7 @@
         (wire.ShiftState.HELD, wire.ShiftState.DONE),
     }
 )
-_IN_FORCE = frozenset(
+_STATES_IN_FORCE = frozenset(
     {
         wire.DrainState.ACTIVE,
         wire.DrainState.DONE,
@@ -36,15 +36,20 @@
         wire.ShiftState.HELD,
     }
 )
-_DRAIN_PLAN: tuple[str, ...] = ('scope', 'subject', 'start')
-_SHIFT_PLAN: tuple[str, ...] = ('pool', 'from_region', 'to_region', 'start')
+_DRAIN_PLAN_FIELDS: tuple[str, ...] = ('scope', 'subject', 'start')
+_SHIFT_PLAN_FIELDS: tuple[str, ...] = (
+    'pool',
+    'from_region',
+    'to_region',
+    'start',
+)
 
 
 def merge_edit(current: wire.Row | None, new: wire.Row) -> wire.Row:
-    """Return the row that an operator's row leads to.
+    """Return the row that results from an operator's row.
 
-    The state in force stays with the row, except when the operator cancels
-    the drain or shift. A lowered cap lowers the percentage at once.
+    The row keeps the state in force, unless the operator cancels the drain
+    or shift. A lowered cap lowers the percentage at once.
     """
     if isinstance(new, wire.Drain) and isinstance(current, wire.Drain):
         if new.state is wire.DrainState.CANCELLED:
@@ -69,39 +74,39 @@
     if change.row is None:
         if current is None:
             yield f'{name}: found nothing, expected a row to remove'
-        elif _state(current) in _IN_FORCE:
+        elif _get_state(current) in _STATES_IN_FORCE:
             yield (
-                f'{name}: found state {_state(current).value!r}, expected '
+                f'{name}: found state {_get_state(current).value!r}, expected '
                 f'a row that is cancelled before it is removed'
             )
         return
     if current is None:
-        yield from _check_new(change.row)
+        yield from _check_new_row(change.row)
     elif current != change.row:
-        yield from _check_plan(change.row, current)
+        yield from _check_plan_fields(change.row, current)
 
 
-def _state(row: wire.Row) -> wire.DrainState | wire.ShiftState:
+def _get_state(row: wire.Row) -> wire.DrainState | wire.ShiftState:
     if isinstance(row, (wire.Drain, wire.Shift)):
         return row.state
     return wire.DrainState.PLANNED
 
 
-def _check_new(row: wire.Row) -> Iterator[str]:
+def _check_new_row(row: wire.Row) -> Iterator[str]:
     if not isinstance(row, (wire.Drain, wire.Shift)):
         return
     if row.state.value != wire.DrainState.PLANNED.value:
-        yield _checks.describe(row, 'state', 'planned for a new row')
+        yield _checks.describe_problem(row, 'state', 'planned for a new row')
     if isinstance(row, wire.Shift) and row.percent != 0.0:
-        yield _checks.describe(row, 'percent', '0.0 for a new row')
+        yield _checks.describe_problem(row, 'percent', '0.0 for a new row')
 
 
-def _check_plan(new: wire.Row, current: wire.Row) -> Iterator[str]:
+def _check_plan_fields(new: wire.Row, current: wire.Row) -> Iterator[str]:
     if isinstance(current, wire.Drain):
-        plan = _DRAIN_PLAN
+        plan = _DRAIN_PLAN_FIELDS
         final = current.state is wire.DrainState.CANCELLED
     elif isinstance(current, wire.Shift):
-        plan = _SHIFT_PLAN
+        plan = _SHIFT_PLAN_FIELDS
         final = current.state in {
             wire.ShiftState.DONE,
             wire.ShiftState.CANCELLED,
@@ -110,25 +115,27 @@
         return
     if current.state.value == wire.DrainState.PLANNED.value:
         return
-    fixed = [field for field in new.__struct_fields__ if final]
-    for field in fixed or plan:
-        found = getattr(current, field)
-        if getattr(new, field) != found:
-            yield _checks.describe(
+    all_fields = [field for field in new.__struct_fields__ if final]
+    for field in all_fields or plan:
+        expected = getattr(current, field)
+        if getattr(new, field) != expected:
+            yield _checks.describe_problem(
                 new,
                 field,
-                f'{found!r} as the row is {current.state.value}; announce '
-                f'another one',
+                f'{expected!r} since the row is {current.state.value}; add '
+                f'another row',
             )
 
 
-def check_step(current: wire.Row | None, new: wire.Row) -> bool:
-    """Return whether a step of the leader moves a row forward."""
+def is_allowed_step(current: wire.Row | None, new: wire.Row) -> bool:
+    """Return whether a step of the leader may replace a row."""
     if isinstance(new, wire.Drain) and isinstance(current, wire.Drain):
-        same = msgspec.structs.replace(new, state=current.state) == current
-        return same and (current.state, new.state) in _DRAIN_STEPS
+        same_plan = (
+            msgspec.structs.replace(new, state=current.state) == current
+        )
+        return same_plan and (current.state, new.state) in _DRAIN_STEPS
     if isinstance(new, wire.Shift) and isinstance(current, wire.Shift):
-        return _check_shift_step(current, new)
+        return _is_allowed_shift_step(current, new)
     if isinstance(new, wire.Registration):
         return True
     if isinstance(new, wire.RecordGroup):
@@ -142,11 +149,11 @@
     return False
 
 
-def _check_shift_step(current: wire.Shift, new: wire.Shift) -> bool:
-    same = msgspec.structs.replace(
+def _is_allowed_shift_step(current: wire.Shift, new: wire.Shift) -> bool:
+    with_current_state = msgspec.structs.replace(
         new, state=current.state, percent=current.percent
     )
-    if same != current:
+    if with_current_state != current:
         return False
     if (current.state, new.state) not in _SHIFT_STEPS:
         return False
--- a/fulmarseam/store/_validation.py
+++ b/fulmarseam/store/_validation.py
@@ -1,8 +1,8 @@
 """Checks of whole tables after an edit.
 
-The checks read the tables as the edit would leave them and report all
-problems together. Blocks are checked only where the edit changes them,
-since a table may hold 490,000.
+The checks read the tables with the edit applied and report all problems
+together. Of the blocks only the changed ones are checked, since a table may
+have 490,000.
 """
 
 from collections.abc import Iterable
@@ -13,9 +13,13 @@
 from fulmarseam.store import _checks
 from fulmarseam.store import _tables
 
-_SHIFT_FINAL = frozenset({wire.ShiftState.DONE, wire.ShiftState.CANCELLED})
-_SHIFT_RUNNING = frozenset({wire.ShiftState.ACTIVE, wire.ShiftState.HELD})
-_WHOLE = (
+_FINAL_SHIFT_STATES = frozenset(
+    {wire.ShiftState.DONE, wire.ShiftState.CANCELLED}
+)
+_RUNNING_SHIFT_STATES = frozenset(
+    {wire.ShiftState.ACTIVE, wire.ShiftState.HELD}
+)
+_FULLY_CHECKED_TYPES = (
     wire.Route,
     wire.Pool,
     wire.Link,
@@ -36,7 +40,7 @@
     """
     regions = _find_regions(tables)
     problems: list[str] = []
-    for row_type in _WHOLE:
+    for row_type in _FULLY_CHECKED_TYPES:
         for row in tables.rows(row_type):
             problems.extend(_checks.check_row(row))
     for change in changes:
@@ -45,7 +49,7 @@
     if check_blocks and regions:
         problems.extend(
             f'blocks: found region {region!r}, expected a region of the '
-            f'links table: {_join(regions)}'
+            f'links table: {_join_names(regions)}'
             for region in sorted(tables.block_regions() - regions)
         )
     problems.extend(_check_routes(tables))
@@ -57,7 +61,7 @@
 
 
 def _find_regions(tables: _tables.Tables) -> frozenset[str]:
-    """Return the regions that the links name; empty when none are known."""
+    """Return the regions that the links name, which may be none."""
     return frozenset(
         region
         for link in tables.rows(wire.Link)
@@ -69,8 +73,8 @@
     row: wire.Row, field: str, regions: frozenset[str]
 ) -> Iterator[str]:
     if regions and getattr(row, field) not in regions:
-        yield _checks.describe(
-            row, field, 'a region of the links table: ' + _join(regions)
+        yield _checks.describe_problem(
+            row, field, 'a region of the links table: ' + _join_names(regions)
         )
 
 
@@ -78,11 +82,13 @@
     tables: _tables.Tables, row: wire.Route | wire.Shift
 ) -> Iterator[str]:
     if tables.get(wire.Pool, row.pool) is None:
-        known = (pool.name for pool in tables.rows(wire.Pool))
-        yield _checks.describe(row, 'pool', 'a known pool: ' + _join(known))
+        pool_names = (pool.name for pool in tables.rows(wire.Pool))
+        yield _checks.describe_problem(
+            row, 'pool', 'a known pool: ' + _join_names(pool_names)
+        )
 
 
-def _join(names: Iterable[str]) -> str:
+def _join_names(names: Iterable[str]) -> str:
     return ', '.join(sorted(names)) or 'there is none'
 
 
@@ -92,10 +98,10 @@
             continue
         yield from _check_pool(tables, route)
         pool = tables.get(wire.Pool, route.pool)
-        # Slots of a silent entry stay charged for the pool's maximum
-        # deadline, so no request may run longer.
+        # Slots of a silent entry stay charged for the maximum deadline of
+        # the pool, so no request may run longer.
         if pool is not None and route.deadline_ms > pool.max_deadline_ms:
-            yield _checks.describe(
+            yield _checks.describe_problem(
                 route,
                 'deadline_ms',
                 f'at most max_deadline_ms of the pool '
@@ -105,10 +111,12 @@
 
 def _check_overlaps(tables: _tables.Tables) -> Iterator[str]:
     """Report routes that match the same requests with equal precedence."""
-    same: dict[tuple[str, str], list[wire.Route]] = {}
+    routes_by_path: dict[tuple[str, str], list[wire.Route]] = {}
     for route in tables.rows(wire.Route):
-        same.setdefault((route.host, route.path_prefix), []).append(route)
-    for routes in same.values():
+        routes_by_path.setdefault((route.host, route.path_prefix), []).append(
+            route
+        )
+    for routes in routes_by_path.values():
         for first, second in itertools.combinations(routes, 2):
             shared = set(first.methods) & set(second.methods)
             if shared or not first.methods or not second.methods:
@@ -132,7 +140,7 @@
     tables: _tables.Tables, regions: frozenset[str]
 ) -> Iterator[str]:
     for shift in tables.rows(wire.Shift):
-        if shift.state in _SHIFT_FINAL:
+        if shift.state in _FINAL_SHIFT_STATES:
             continue
         yield from _check_pool(tables, shift)
         yield from _check_region(shift, 'from_region', regions)
@@ -140,15 +148,15 @@
 
 
 def _check_shift_pairs(tables: _tables.Tables) -> Iterator[str]:
-    """Report shifts of the same traffic that could be active together."""
-    same: dict[tuple[str, str], list[wire.Shift]] = {}
+    """Report shifts of the same traffic that may be active together."""
+    shifts_by_traffic: dict[tuple[str, str], list[wire.Shift]] = {}
     for shift in tables.rows(wire.Shift):
-        if shift.state not in _SHIFT_FINAL:
+        if shift.state not in _FINAL_SHIFT_STATES:
             key = (shift.pool, shift.from_region)
-            same.setdefault(key, []).append(shift)
-    for shifts in same.values():
+            shifts_by_traffic.setdefault(key, []).append(shift)
+    for shifts in shifts_by_traffic.values():
         for first, second in itertools.combinations(shifts, 2):
-            if _may_meet(first, second):
+            if _may_overlap(first, second):
                 yield (
                     f'shifts.{second.name}: overlaps with '
                     f'shifts.{first.name}, expected one shift at a time for '
@@ -156,7 +164,10 @@
                 )
 
 
-def _may_meet(first: wire.Shift, second: wire.Shift) -> bool:
-    if first.state in _SHIFT_RUNNING and second.state in _SHIFT_RUNNING:
+def _may_overlap(first: wire.Shift, second: wire.Shift) -> bool:
+    if (
+        first.state in _RUNNING_SHIFT_STATES
+        and second.state in _RUNNING_SHIFT_STATES
+    ):
         return True
     return first.start < second.end and second.start < first.end
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store package."""
+"""Tests of edits, validation and state transitions in the store."""
 
 import unittest
 
@@ -11,7 +11,10 @@
 
 
 class EditTest(unittest.TestCase):
-    """Guards against lost, doubled and reverted edits."""
+    """Guards against edits that are lost, applied twice or reverted.
+
+    Operators resend edits, reuse edit ids and edit the same table at once.
+    """
 
     def test_of_two_edits_with_equal_versions_one_wins(self) -> None:
         group = store_fixtures.Group()
@@ -65,7 +68,7 @@
         self.assertEqual('edit_id_conflict', other.kind)
         self.assertIsNone(group.machine.tables.get(wire.Pool, 'other'))
 
-    def test_resend_is_known_by_its_content(self) -> None:
+    def test_resend_is_recognized_by_its_content(self) -> None:
         group = store_fixtures.Group()
         first = wire.Edit(
             edit_id=ids.EditId('a'),
@@ -82,7 +85,7 @@
         self.assertEqual('edit_id_conflict', group.apply(other).kind)
 
     def test_results_are_bounded(self) -> None:
-        group = store_fixtures.Group(store.EditResults(limit=3))
+        group = store_fixtures.Group(store.EditResults(max_results=3))
         for number in range(5):
             group.edit(
                 f'e{number}', store_fixtures.make_pool(queue_limit=number)
@@ -91,7 +94,7 @@
         self.assertIsNone(group.machine.results.find(ids.EditId('e1')))
         self.assertIsNotNone(group.machine.results.find(ids.EditId('e2')))
 
-    def test_lines_of_refused_edits_are_bounded(self) -> None:
+    def test_problems_of_refused_edits_are_bounded(self) -> None:
         group = store_fixtures.Group(store.EditResults(max_problem_bytes=200))
         for number in range(5):
             group.edit(f'e{number}', store_fixtures.make_route(pool='gone'))
@@ -145,7 +148,10 @@
 
 
 class ValidationTest(unittest.TestCase):
-    """Guards against tables that entries cannot follow."""
+    """Guards against accepting tables that entries cannot apply.
+
+    An edit may hold invalid rows, or valid rows that contradict others.
+    """
 
     def check(self, expected: list[str], *rows: wire.Row) -> None:
         group = store_fixtures.Group()
@@ -214,7 +220,7 @@
                     wire.Block(name=name, region=ids.RegionName('ost')),
                 )
 
-    def test_shifts_of_the_same_traffic_may_not_meet(self) -> None:
+    def test_shifts_of_the_same_traffic_may_not_overlap(self) -> None:
         self.check(
             ['shifts.t: overlaps with shifts.s'],
             store_fixtures.make_pool(),
@@ -275,7 +281,10 @@
 
 
 class TransitionTest(unittest.TestCase):
-    """Guards against drains and shifts that move backward."""
+    """Guards against drains and shifts that return to an earlier state.
+
+    That could follow an edit, or a step of a former leader.
+    """
 
     def setUp(self) -> None:
         self.group = store_fixtures.Group()
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -13,22 +13,26 @@
 
 
 class TablesTest(unittest.TestCase):
-    """Guards against readers that miss changes or go back."""
+    """Guards against readers that miss changes or return to old rows.
 
-    def test_reader_gets_only_the_difference(self) -> None:
+    A reader may be behind the journal, ahead of the tables, or get an
+    update that is older than its rows.
+    """
+
+    def test_reader_gets_only_the_changes(self) -> None:
         group = store_fixtures.Group()
         group.edit('a', store_fixtures.make_pool())
         group.edit('b', store_fixtures.make_pool('x'))
         group.edit('c', store_fixtures.make_pool('x', queue_limit=1))
-        found = group.machine.tables.changes_since(1)
-        self.assertEqual((3, False), (found.revision, found.full))
+        update = group.machine.tables.changes_since(1)
+        self.assertEqual((3, False), (update.revision, update.full))
         self.assertEqual(
             [store_fixtures.make_pool('x', queue_limit=1)],
-            [change.row for change in found.changes],
+            [change.row for change in update.changes],
         )
 
     def test_reader_too_far_behind_gets_the_whole_state(self) -> None:
-        tables = store.Tables(store.Journal(revisions=2))
+        tables = store.Tables(store.ChangeJournal(max_revisions=2))
         for number in range(1, 5):
             tables.apply_changes(
                 number,
@@ -36,11 +40,11 @@
                 False,
             )
         self.assertFalse(tables.changes_since(2).full)
-        found = tables.changes_since(1)
-        self.assertTrue(found.full)
-        self.assertEqual(4, len(found.changes))
+        update = tables.changes_since(1)
+        self.assertTrue(update.full)
+        self.assertEqual(4, len(update.changes))
 
-    def test_full_answer_removes_what_is_gone(self) -> None:
+    def test_full_update_removes_missing_rows(self) -> None:
         reader = store.Tables()
         reader.apply_changes(
             1, [store.make_change(store_fixtures.make_pool('old'))], False
@@ -61,10 +65,10 @@
         self.assertIsNotNone(reader.get(wire.Pool, 'katalog'))
 
     def test_reader_ahead_gets_nothing(self) -> None:
-        found = store.Tables().changes_since(7)
-        self.assertEqual((False, []), (found.full, found.changes))
+        update = store.Tables().changes_since(7)
+        self.assertEqual((False, []), (update.full, update.changes))
 
-    def test_addresses_are_found_in_the_longest_block(self) -> None:
+    def test_addresses_are_found_by_the_longest_prefix(self) -> None:
         group = store_fixtures.Group()
         group.edit(
             'a',
@@ -78,7 +82,11 @@
 
 
 class BlockImageTest(unittest.TestCase):
-    """Guards against large block tables that stop the members."""
+    """Guards against large edits of blocks that stall the members.
+
+    The blocks table is replaced by an image at once, since single changes
+    would block the event loop of every member.
+    """
 
     def setUp(self) -> None:
         self.group = store_fixtures.Group()
@@ -108,21 +116,21 @@
     def test_image_replaces_the_table_and_reaches_readers(self) -> None:
         self.group.edit('a', store_fixtures.make_pool())
         reader = store.Tables()
-        found = self.group.machine.tables.changes_since(0)
-        reader.apply_changes(found.revision, found.changes, found.full)
+        update = self.group.machine.tables.changes_since(0)
+        reader.apply_changes(update.revision, update.changes, update.full)
         result = self.edit_blocks('b', self.make_image(self.block))
         self.assertEqual((None, 2), (result.kind, result.revision))
-        found = self.group.machine.tables.changes_since(reader.revision)
-        self.assertTrue(found.full)
+        update = self.group.machine.tables.changes_since(reader.revision)
+        self.assertTrue(update.full)
         reader.apply_changes(
-            found.revision, found.changes, found.full, found.blocks
+            update.revision, update.changes, update.full, update.blocks
         )
         self.assertEqual('ost', reader.find_region('10.1.2.3'))
         self.assertIsNotNone(reader.get(wire.Pool, 'katalog'))
         again = self.edit_blocks('c', self.make_image(self.block))
         self.assertEqual(2, again.revision)
 
-    def test_refused_image_leaves_the_table(self) -> None:
+    def test_refused_image_leaves_the_table_unchanged(self) -> None:
         self.group.edit(
             'a', store_fixtures.make_link('west', 'ost'), self.block
         )
@@ -157,7 +165,7 @@
             f'changes: found {store.MAX_CHANGES + 1}', result.problems[0]
         )
 
-    def test_restore_takes_an_image(self) -> None:
+    def test_restore_accepts_an_image(self) -> None:
         self.group.edit('a', store_fixtures.make_pool(), self.block)
         export = wire.Export(
             revision=1,
@@ -174,9 +182,9 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    """Guards against state lost or reverted by snapshots and restores."""
+    """Guards against state that a snapshot or restore loses or reverts."""
 
-    def test_restored_machine_continues_where_it_stopped(self) -> None:
+    def test_restored_machine_continues_from_the_snapshot(self) -> None:
         group = store_fixtures.Group()
         group.edit(
             'a', store_fixtures.make_pool(), store_fixtures.make_route()
@@ -271,7 +279,10 @@
 
 
 class ReplayTest(unittest.TestCase):
-    """Guards against members that differ after the same commands."""
+    """Guards against members that differ after the same commands.
+
+    Members replay the log, load snapshots or read incremental updates.
+    """
 
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
     @hypothesis.given(
@@ -293,9 +304,9 @@
             self.assertGreaterEqual(group.machine.tables.revision, revision)
             revision = group.machine.tables.revision
             if number % 3 == 0:
-                found = group.machine.tables.changes_since(reader.revision)
+                update = group.machine.tables.changes_since(reader.revision)
                 reader.apply_changes(
-                    found.revision, found.changes, found.full, found.blocks
+                    update.revision, update.changes, update.full, update.blocks
                 )
                 self.assertEqual(group.machine.tables.dump(), reader.dump())
         replayed = store.Machine()
