--- a/fulmarseam/control/_admin.py
+++ b/fulmarseam/control/_admin.py
@@ -79,14 +79,16 @@
             raise errors.NotLeaderError(self._member.leader())
         tables = self._machine.tables
         names = request.tables or list(wire.TableName)
-        plain = [name for name in names if name in store.ROW_ENCODED_TABLES]
+        row_encoded = [
+            name for name in names if name in store.ROW_ENCODED_TABLES
+        ]
         return wire.TablesResponse(
             revision=tables.revision,
             versions={
                 name: self._machine.table_version(name) for name in names
             },
-            changes=tables.dump(plain),
-            blocks=tables.dump_blocks() if plain != names else b'',
+            changes=tables.dump(row_encoded),
+            blocks=tables.dump_blocks() if row_encoded != names else b'',
         )
 
     def _make_status(self) -> wire.StatusResponse:
--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -24,8 +24,8 @@
 # A member that hears no leader for a random time within these bounds starts
 # an election; a wide range makes simultaneous elections rare. Heartbeats come
 # every 0.1 s, and their round trip takes up to 40 ms.
-ELECTION_MIN_S = 0.4
-ELECTION_MAX_S = 0.8
+ELECTION_TIMEOUT_MIN_S = 0.4
+ELECTION_TIMEOUT_MAX_S = 0.8
 # Operators and targets wait 1 s for an answer, and retry a command without
 # a result at another member.
 COMMAND_TIMEOUT_S = 0.9
@@ -41,7 +41,7 @@
 # Pause before a member opens its directory again after a failed write. A
 # full disk usually stays full for seconds.
 DISK_RETRY_DELAY_S = 0.5
-# Pause before a removed member rejoins under a new identity.
+# Pause before a member rejoins under a new identity.
 REJOIN_DELAY_S = 0.1
 
 _log = logbook.Logger('control')
@@ -161,8 +161,8 @@
                 address=options.advertise or options.listen,
                 data_dir=options.data_dir,
                 members={},
-                election_min_s=ELECTION_MIN_S,
-                election_max_s=ELECTION_MAX_S,
+                election_min_s=ELECTION_TIMEOUT_MIN_S,
+                election_max_s=ELECTION_TIMEOUT_MAX_S,
                 discovery=consensus.DiscoverySettings(
                     host=options.host,
                     seeds=self._seeds,
--- a/fulmarseam/control/_groups.py
+++ b/fulmarseam/control/_groups.py
@@ -85,7 +85,7 @@
         if now - started >= GENERATION_ROTATE_AFTER_S:
             return msgspec.structs.replace(row, generation=row.generation + 1)
         lost_before = row.lost_before
-        # The age of a generation counts from the first sight of the next one.
+        # A generation is superseded when the next one is first seen.
         while (
             lost_before < row.generation
             and now
@@ -269,7 +269,7 @@
     preferred: Replica | None,
     candidates: list[Replica],
 ) -> bool:
-    """Return whether a preferred backup is available, unlike the current."""
+    """Return whether the backup can move to another domain of the region."""
     current = _find_candidate(candidates, row.backup)
     if (
         preferred is None
--- a/fulmarseam/control/_leadership.py
+++ b/fulmarseam/control/_leadership.py
@@ -100,8 +100,8 @@
         """Expire leases; return whether any has ended."""
         ended = bool(self.targets.expire(now))
         ended |= bool(self.entries.expire(now))
-        known = {row.info.entry for row in self.entries.rows()}
-        for entry in self.reports.keys() - known:
+        known_entries = {row.info.entry for row in self.entries.rows()}
+        for entry in self.reports.keys() - known_entries:
             del self.reports[entry]
         return ended
 
@@ -128,7 +128,7 @@
             self.allocate(now)
 
     def allocate_on_tick(self, now: float, interval_s: float) -> bool:
-        """Allocate if the last time is an interval ago; return if so."""
+        """Allocate if an interval has passed; return whether it has."""
         if now - self._allocated_at < interval_s:
             return False
         self.allocate(now)
@@ -160,10 +160,12 @@
         that it dispatched until the longest deadline has passed.
         """
         pools = self._tables.rows(wire.Pool)
-        longest_ms = max((pool.max_deadline_ms for pool in pools), default=0)
-        limit = self._grant_ttl_s + longest_ms / MS_PER_S
+        max_deadline_ms = max(
+            (pool.max_deadline_ms for pool in pools), default=0
+        )
+        max_silence_s = self._grant_ttl_s + max_deadline_ms / MS_PER_S
         for report in self.reports.values():
-            if now - report.received_at < limit:
+            if now - report.received_at < max_silence_s:
                 yield report
 
     def is_settled(self, now: float) -> bool:
--- a/fulmarseam/control/_planner.py
+++ b/fulmarseam/control/_planner.py
@@ -55,8 +55,8 @@
     async def run(self) -> None:
         """Propose the steps that are due now, one at a time.
 
-        The next call plans again from the rows in force, so refused and
-        uncertain steps need no handling.
+        Refused and uncertain steps need no handling, since the next call
+        plans again from the rows then in force.
         """
         for step in self.plan(time.monotonic(), time.time()):
             try:
--- a/fulmarseam/control/_shifts.py
+++ b/fulmarseam/control/_shifts.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotCapacity:
-    """Number of slots of a pool in a region, and of the free ones."""
+    """The total and free slots of a pool in a region."""
 
     slots: int
     free: int
--- a/fulmarseam/records/_replication.py
+++ b/fulmarseam/records/_replication.py
@@ -12,7 +12,7 @@
 
 from fulmarseam import wire
 
-MAX_WRITES = 500
+MAX_MESSAGE_WRITES = 500
 MAX_CHUNK_ROWS = 500
 
 StreamMessage = wire.RecordReplicate | wire.RecordChunk
@@ -58,11 +58,11 @@
         The stream continues if the backup is the same incarnation of the
         same entry; any other backup gets a full copy.
         """
-        old, self._group = self._group, group
+        former_group, self._group = self._group, group
         self.acked_number = -1
-        if old is not None and _identify_backup(old) == _identify_backup(
-            group
-        ):
+        if former_group is not None and _identify_backup(
+            former_group
+        ) == _identify_backup(group):
             return
         self._copy = None
         self._unacked_writes.clear()
@@ -92,7 +92,9 @@
             return self._make_chunk(self._group, self._copy)
         writes = [
             self._unacked_writes[index]
-            for index in range(min(len(self._unacked_writes), MAX_WRITES))
+            for index in range(
+                min(len(self._unacked_writes), MAX_MESSAGE_WRITES)
+            )
         ]
         return wire.RecordReplicate(
             region=self._group.name,
@@ -174,7 +176,7 @@
         self.stream: wire.RecordStream | None = None
         self.applied: int | None = None
         self.generation = 0
-        self._copy = 0
+        self._copy_number = 0
         self._rows: list[wire.RecordRow] = []
         self._next_index = 0
 
@@ -182,7 +184,7 @@
         """Forget the stream once this replica is no longer the backup."""
         self.stream = None
         self.applied = None
-        self._copy = 0
+        self._copy_number = 0
         self._rows = []
         self._next_index = 0
 
@@ -207,16 +209,16 @@
             self.applied = None
             return ReceivedChanges(self._make_progress())
         self.generation = message.generation
-        new = message.writes[self.applied - message.base :]
-        self.applied += len(new)
-        return ReceivedChanges(self._make_progress(), writes=new)
+        new_writes = message.writes[self.applied - message.base :]
+        self.applied += len(new_writes)
+        return ReceivedChanges(self._make_progress(), writes=new_writes)
 
     def _receive_chunk(self, message: wire.RecordChunk) -> ReceivedChanges:
-        if message.copy < self._copy:
+        if message.copy < self._copy_number:
             return ReceivedChanges(self._make_progress())
-        if message.copy > self._copy:
+        if message.copy > self._copy_number:
             self.applied = None
-            self._copy = message.copy
+            self._copy_number = message.copy
             self._rows = []
             self._next_index = 0
         if self.applied is not None or message.index != self._next_index:
@@ -232,5 +234,7 @@
 
     def _make_progress(self) -> wire.RecordProgress:
         return wire.RecordProgress(
-            applied=self.applied, copy=self._copy, next_index=self._next_index
+            applied=self.applied,
+            copy=self._copy_number,
+            next_index=self._next_index,
         )
--- a/fulmarseam/records/_runtime_journal.py
+++ b/fulmarseam/records/_runtime_journal.py
@@ -112,10 +112,10 @@
             )
 
     def _resolve_waiters(self) -> None:
-        left = []
+        remaining = []
         for number, waiter in self._sync_waiters:
             if number > self._synced_count:
-                left.append((number, waiter))
+                remaining.append((number, waiter))
             elif not waiter.done():
                 waiter.set_result(None)
-        self._sync_waiters = left
+        self._sync_waiters = remaining
--- a/fulmarseam/records/_runtime_region.py
+++ b/fulmarseam/records/_runtime_region.py
@@ -87,7 +87,7 @@
         self._ack_waiters = []
 
     def leave_group(self) -> None:
-        """Stop acting as a replica, since the group names other entries."""
+        """Stop acting as a replica of the group."""
         self.step_down()
         self.receiver.reset()
         self.group = None
@@ -192,13 +192,13 @@
         return False
 
     def _resolve_waiters(self, acked_number: int) -> None:
-        left = []
+        remaining = []
         for number, waiter in self._ack_waiters:
             if number > acked_number:
-                left.append((number, waiter))
+                remaining.append((number, waiter))
             elif not waiter.done():
                 waiter.set_result(None)
-        self._ack_waiters = left
+        self._ack_waiters = remaining
 
 
 def make_unavailable(detail: str) -> errors.FulmarseamError:
--- a/fulmarseam/store/_machine.py
+++ b/fulmarseam/store/_machine.py
@@ -147,12 +147,12 @@
         )
 
     def _apply_restore(self, restore: wire.Restore) -> wire.EditResult:
-        shape = wire.Edit(
+        restored_edit = wire.Edit(
             edit_id=restore.edit_id,
             base=dict.fromkeys(wire.TableName, 0),
             changes=restore.export.changes,
         )
-        problems = list(_check_rows(shape))
+        problems = list(_check_rows(restored_edit))
         changes = _restoring.plan_restore(self.tables, restore.export)
         # Entries ignore lower revisions than their own, so rows restored
         # into an empty group need a revision above the exported one.
