--- a/fulmarseam/bench/_links.py
+++ b/fulmarseam/bench/_links.py
@@ -102,8 +102,8 @@
         there = (inward if incoming else []) + (outward if outgoing else [])
         back = (inward if outgoing else []) + (outward if incoming else [])
         return [
-            Side(there, standin.Direction.THERE),
-            Side(back, standin.Direction.BACK),
+            Side(there, standin.Direction.UPSTREAM),
+            Side(back, standin.Direction.DOWNSTREAM),
         ]
 
     async def command(
--- a/fulmarseam/standin/_proxy.py
+++ b/fulmarseam/standin/_proxy.py
@@ -39,10 +39,10 @@
 
 
 class Direction(enum.Enum):
-    """Ways of a link; THERE leads from the dialler to the listener."""
+    """Ways of a link; UPSTREAM leads from the dialler to the listener."""
 
-    THERE = 'there'
-    BACK = 'back'
+    UPSTREAM = 'there'
+    DOWNSTREAM = 'back'
     BOTH = 'both'
 
 
@@ -99,9 +99,9 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def select(self, direction: Direction) -> list[_pipe.LineState]:
-        if direction is Direction.THERE:
+        if direction is Direction.UPSTREAM:
             return [self.there]
-        if direction is Direction.BACK:
+        if direction is Direction.DOWNSTREAM:
             return [self.back]
         return [self.there, self.back]
 
--- a/tests/soak/_system.py
+++ b/tests/soak/_system.py
@@ -368,8 +368,8 @@
         name = fault.subject
         directions = {
             _plan.FaultKind.HOLD: standin.Direction.BOTH,
-            _plan.FaultKind.HOLD_THERE: standin.Direction.THERE,
-            _plan.FaultKind.HOLD_BACK: standin.Direction.BACK,
+            _plan.FaultKind.HOLD_THERE: standin.Direction.UPSTREAM,
+            _plan.FaultKind.HOLD_BACK: standin.Direction.DOWNSTREAM,
         }
         if fault.kind is _plan.FaultKind.RESET:
             await self.shape_link(name, action=standin.Action.CUT)
