--- a/fulmarseam/bench/_checker.py
+++ b/fulmarseam/bench/_checker.py
@@ -23,7 +23,7 @@
 # any order.
 CANCEL_RACE_S = 0.05
 LINK_WINDOW_S = 1.0
-_ARRIVALS = (standin.RunEvent.START, standin.RunEvent.WAIT)
+_ARRIVALS = (standin.RunEvent.START, standin.RunEvent.QUEUED)
 # These requests break their own connections.
 _BREAKING_ACTIONS = ('crash', 'truncate')
 
@@ -160,7 +160,7 @@
         list
     )
     for run in runs:
-        gone = run.event is standin.RunEvent.GONE
+        gone = run.event is standin.RunEvent.ABANDONED
         if gone or run.result is standin.RunResult.CANCELLED:
             cancelled[run.region, run.pool].append(run.time)
     busy: dict[str, int] = {}
@@ -169,7 +169,10 @@
         if run.target not in groups:
             groups[run.target] = group
             slots[group] = slots.get(group, 0) + run.slots
-        leaves = run.event in (standin.RunEvent.END, standin.RunEvent.GONE)
+        leaves = run.event in (
+            standin.RunEvent.END,
+            standin.RunEvent.ABANDONED,
+        )
         now_busy = run.busy - 1 if leaves else run.busy
         change = now_busy - busy.get(run.target, 0)
         busy[run.target] = now_busy
--- a/fulmarseam/bench/_results.py
+++ b/fulmarseam/bench/_results.py
@@ -116,7 +116,7 @@
 
 
 def _count_free(run: standin.RunRecord, before: int) -> int:
-    leaves = run.event in (standin.RunEvent.END, standin.RunEvent.GONE)
+    leaves = run.event in (standin.RunEvent.END, standin.RunEvent.ABANDONED)
     if run.event in (standin.RunEvent.LEAVING, standin.RunEvent.DOWN):
         return 0
     if run.result is standin.RunResult.CRASHED:
--- a/fulmarseam/standin/_journal.py
+++ b/fulmarseam/standin/_journal.py
@@ -19,14 +19,14 @@
 class RunEvent(enum.Enum):
     """What a target records.
 
-    WAIT is an arrival that found no free slot, GONE its end without a
+    QUEUED is an arrival that found no free slot, ABANDONED its end without a
     start.
     """
 
     UP = 'up'
     LEAVING = 'leaving'
-    WAIT = 'wait'
-    GONE = 'gone'
+    QUEUED = 'wait'
+    ABANDONED = 'gone'
     START = 'start'
     END = 'end'
     SHED = 'shed'
--- a/fulmarseam/standin/_work.py
+++ b/fulmarseam/standin/_work.py
@@ -135,7 +135,7 @@
     async def _take_slot(self, job: Job) -> bool:
         if not self._slots.locked():
             return await self._slots.acquire()
-        self.record(_journal.RunEvent.WAIT, job)
+        self.record(_journal.RunEvent.QUEUED, job)
         taken = False
         try:
             async with asyncio.timeout(job.deadline_s):
@@ -144,7 +144,7 @@
             pass
         finally:
             if not taken:
-                self.record(_journal.RunEvent.GONE, job)
+                self.record(_journal.RunEvent.ABANDONED, job)
         return taken
 
     async def _run_in_slot(
