--- a/fulmarseam/standin/__init__.py
+++ b/fulmarseam/standin/__init__.py
@@ -1,9 +1,9 @@
-"""Stand-ins for tests and measurements: target, load and fault proxy.
+"""Stand-ins for tests and benchmarks: target, load generator, fault proxy.
 
-The target serves marked requests: `Standin-Mark` names the request in the
-journals, `Standin-Action` asks for "crash" or "truncate",
+Request headers control the target: `Standin-Mark` is the id of the request
+in the journals, `Standin-Action` asks for "crash" or "truncate",
 `Standin-Service-Ms` sets the service time and `Standin-Response-Bytes` the
-size of the answer.
+size of the response body.
 """
 
 from fulmarseam.standin._journal import AttemptRecord
@@ -21,7 +21,7 @@
 from fulmarseam.standin._proxy import LinkStatus
 from fulmarseam.standin._proxy import ProxyCommand
 from fulmarseam.standin._proxy import run_faultproxy
-from fulmarseam.standin._reports import Reporter
+from fulmarseam.standin._reports import LoadReporter
 from fulmarseam.standin._target import run_target
 from fulmarseam.standin._target import TargetCommand
 
--- a/fulmarseam/standin/_direct.py
+++ b/fulmarseam/standin/_direct.py
@@ -1,8 +1,8 @@
-"""Senders that choose targets themselves, as baselines for the entries.
+"""Load balancing in the load generator, as a baseline for the entries.
 
-A load process then stands for a single entry without grants: it knows only
-its own requests. The hop through an entry is left out, which flatters the
-baselines by that hop.
+The load process acts as a single entry without grants: it knows only its own
+requests. Requests skip the hop through an entry, so the latencies of the
+baseline are too low by that hop.
 """
 
 from collections.abc import Callable
@@ -17,72 +17,77 @@
 
 MAX_ATTEMPTS = 3
 
-Choose = Callable[[Sequence[str]], str]
+ChooseAddress = Callable[[Sequence[str]], str]
 
 
-class Outstanding:
-    """Requests in flight by address, as this process sees them."""
+class OutstandingCounter:
+    """Counts the requests of this process in flight to each address."""
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
 
-    def read(self, address: str) -> int:
-        """Return the requests in flight at an address."""
+    def get(self, address: str) -> int:
+        """Return the number of requests in flight to an address."""
         return self._counts.get(address, 0)
 
-    def change(self, address: str, amount: int) -> None:
-        """Add to the requests in flight at an address."""
-        self._counts[address] = self.read(address) + amount
+    def add(self, address: str, amount: int) -> None:
+        """Change the number of requests in flight by a signed amount."""
+        self._counts[address] = self.get(address) + amount
 
 
-def make_choice(
-    policy: str, rng: random.Random, outstanding: Outstanding
-) -> Choose:
-    """Return the choice of an address among several.
+def make_chooser(
+    policy: str, rng: random.Random, outstanding: OutstandingCounter
+) -> ChooseAddress:
+    """Return the function that chooses an address by a policy.
 
-    The policies are "turns", "random" and "least-outstanding".
+    The policies are "turns" (round robin), "random" and
+    "least-outstanding".
     """
-    turns = itertools.count()
+    positions = itertools.count()
 
-    def choose_in_turn(addresses: Sequence[str]) -> str:
-        return addresses[next(turns) % len(addresses)]
+    def choose_round_robin(addresses: Sequence[str]) -> str:
+        return addresses[next(positions) % len(addresses)]
 
-    def choose_least(addresses: Sequence[str]) -> str:
-        least = min(map(outstanding.read, addresses))
+    def choose_least_outstanding(addresses: Sequence[str]) -> str:
+        least = min(map(outstanding.get, addresses))
         return rng.choice(
-            [item for item in addresses if outstanding.read(item) == least]
+            [
+                address
+                for address in addresses
+                if outstanding.get(address) == least
+            ]
         )
 
     if policy == 'random':
         return rng.choice
     if policy == 'least-outstanding':
-        return choose_least
-    return choose_in_turn
+        return choose_least_outstanding
+    return choose_round_robin
 
 
 class DirectSender:
-    """Sends each call to a chosen address, and elsewhere if not run."""
+    """Sends calls to targets and retries those that were not run."""
 
     def __init__(
         self, options: settings.LoadSettings, http_client: client.HttpClient
     ) -> None:
         self._addresses = options.direct
         self._http_client = http_client
-        self._outstanding = Outstanding()
+        self._outstanding = OutstandingCounter()
         rng = random.Random(options.seed or None)
-        self._choose = make_choice(options.policy, rng, self._outstanding)
+        self._choose = make_chooser(options.policy, rng, self._outstanding)
 
     async def send(
         self, request: client.Request, route: settings.LoadRoute
     ) -> client.Result:
-        """Send one call and return what is known of it."""
+        """Send a call, trying other addresses until a target runs it."""
         deadline = time.monotonic() + route.deadline_ms / 1_000
         attempts: list[client.Attempt] = []
         reply: client.Reply | None = None
-        left = list(self._addresses)
-        while left and len(attempts) < MAX_ATTEMPTS:
-            address = self._choose(left)
-            left.remove(address)
+        remaining = list(self._addresses)
+        while remaining and len(attempts) < MAX_ATTEMPTS:
+            address = self._choose(remaining)
+            remaining.remove(address)
             attempt, reply = await self._attempt(address, request, deadline)
             attempts.append(attempt)
             if attempt.outcome is not errors.Outcome.NOT_RUN:
@@ -93,15 +98,15 @@
         self, address: str, request: client.Request, deadline: float
     ) -> tuple[client.Attempt, client.Reply | None]:
         sent = time.monotonic()
-        left_s = max(0.001, deadline - sent)
+        remaining_s = max(0.001, deadline - sent)
         headers = {
             **request.headers,
-            'Fulmarseam-Deadline-Ms': str(int(left_s * 1_000)),
+            'Fulmarseam-Deadline-Ms': str(int(remaining_s * 1_000)),
         }
-        self._outstanding.change(address, 1)
+        self._outstanding.add(address, 1)
         try:
             reply = await self._http_client.send(
-                address, request._replace(headers=headers), left_s
+                address, request._replace(headers=headers), remaining_s
             )
         except client.ExchangeError as error:
             attempt = client.Attempt(
@@ -115,7 +120,7 @@
             )
             return attempt, None
         finally:
-            self._outstanding.change(address, -1)
+            self._outstanding.add(address, -1)
         outcome = client.read_outcome(reply)
         kind = ''
         if outcome is errors.Outcome.NOT_RUN:
--- a/fulmarseam/standin/_journal.py
+++ b/fulmarseam/standin/_journal.py
@@ -1,8 +1,8 @@
-"""Journals of what targets ran and what callers saw.
+"""Journals of the requests that targets ran and callers sent.
 
-A journal is a file of JSON lines. Each line is written at once, so that the
-lines before a kill are kept. Times are seconds of the monotonic clock, which
-all processes of one machine share.
+A journal is a file of JSON lines. Each record is written without buffering,
+so that a killed process loses none. Times are seconds of the monotonic
+clock, which all processes of one machine share.
 """
 
 from collections.abc import Iterator
@@ -17,10 +17,10 @@
 
 
 class RunEvent(enum.Enum):
-    """What a target records.
+    """Event of a target or of a request at a target.
 
-    QUEUED is an arrival that found no free slot, ABANDONED its end without a
-    start.
+    A request is QUEUED when it finds no free slot, and ABANDONED when it
+    ends without getting one.
     """
 
     UP = 'up'
@@ -34,7 +34,7 @@
 
 
 class RunResult(enum.Enum):
-    """How a run ended."""
+    """How the execution of a request ended."""
 
     ANSWERED = 'answered'
     TRUNCATED = 'truncated'
@@ -46,9 +46,9 @@
 class RunRecord(msgspec.Struct, frozen=True, kw_only=True):
     """One line of a target's journal.
 
-    `mark` is the caller's mark of the request. `busy` counts the requests
-    at the target, waiting ones included, with this one. `sent_bytes` is
-    the size of the answer's body.
+    `mark` is the id that the caller gave the request. `busy` counts the
+    running and queued requests of the target, including this one.
+    `sent_bytes` is the size of the response body.
     """
 
     time: float
@@ -67,7 +67,7 @@
 
 
 class AttemptRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt of a call at one entry, see `client.Attempt`."""
+    """One attempt of a call, with the fields of `client.Attempt`."""
 
     entry: str
     sent: float
@@ -83,8 +83,8 @@
 class CallRecord(msgspec.Struct, frozen=True, kw_only=True):
     """One line of a caller's journal.
 
-    `mark_seen`, `body_bytes` and `body_expected` are read from the answer;
-    `body_expected` is -1 when the answer names no size.
+    `mark_seen`, `target_seen`, `body_bytes` and `body_expected` are read
+    from the response; `body_expected` is -1 when no header gives the size.
     """
 
     mark: str
@@ -107,7 +107,7 @@
 
 
 class Journal:
-    """Appends records to a file; without a path it drops them."""
+    """Appends records to a file, or drops them when there is no path."""
 
     def __init__(self, path: str | None) -> None:
         self._file: int | None = None
@@ -116,7 +116,7 @@
             self._file = os.open(path, flags, 0o644)
 
     def append(self, record: msgspec.Struct) -> None:
-        """Write one record."""
+        """Write one record without buffering."""
         if self._file is not None:
             os.write(self._file, msgspec.json.encode(record) + b'\n')
 
@@ -127,13 +127,14 @@
             self._file = None
 
 
-def read_journal(path: str, kind: type[RecordT]) -> Iterator[RecordT]:
-    """Yield the records of a file; a line cut short by a kill is left out.
+def read_journal(path: str, record_type: type[RecordT]) -> Iterator[RecordT]:
+    """Yield the records of a file.
 
-    Raises `msgspec.MsgspecError` on a line of another kind.
+    Skips a last line without its end, which a killed process leaves.
+    Raises `msgspec.MsgspecError` for a line that is no `record_type`.
     """
     data = pathlib.Path(path).read_bytes()
-    decoder = msgspec.json.Decoder(kind)
+    decoder = msgspec.json.Decoder(record_type)
     for line in data.splitlines(keepends=True):
         if line.endswith(b'\n'):
             yield decoder.decode(line)
--- a/fulmarseam/standin/_proxy.py
+++ b/fulmarseam/standin/_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy: TCP forwards with faults, changed at run time."""
+"""TCP proxy that injects network faults on command."""
 
 import asyncio
 import contextlib
@@ -24,10 +24,10 @@
 class Action(enum.Enum):
     """What a command does to links.
 
-    HOLD keeps all bytes back without closing anything. HEAL_LATE delivers
+    HOLD holds back all bytes and keeps connections open. HEAL_LATE delivers
     the held bytes, HEAL_RESET drops them and resets their connections. CUT
     resets all connections and refuses new ones until a heal. SHAPE sets
-    the delay and the rate.
+    the delay and the rate limit. SHOW only returns the status.
     """
 
     HOLD = 'hold'
@@ -39,7 +39,7 @@
 
 
 class Direction(enum.Enum):
-    """Ways of a link; UPSTREAM leads from the dialler to the listener."""
+    """Direction of a link; UPSTREAM is towards the accepting side."""
 
     UPSTREAM = 'there'
     DOWNSTREAM = 'back'
@@ -47,7 +47,7 @@
 
 
 class ProxyCommand(msgspec.Struct, frozen=True, kw_only=True):
-    """A command to all links whose names match one of the patterns."""
+    """A command to all links whose names match a pattern of `links`."""
 
     action: Action
     links: list[str]
@@ -57,7 +57,7 @@
 
 
 class LinkStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The state of one link."""
+    """The state of a link; "there" is upstream, "back" is downstream."""
 
     name: str
     connections: int
@@ -69,13 +69,13 @@
 
 
 class _Link:
-    """One forward with its connections."""
+    """A forwarded address with its open connections."""
 
     def __init__(self, forward: settings.Forward) -> None:
         delay_s = forward.delay_ms / 1_000
         self.forward = forward
-        self.there = _pipe.LineState(delay_s, forward.bytes_per_s)
-        self.back = _pipe.LineState(delay_s, forward.bytes_per_s)
+        self.upstream = _pipe.DirectionState(delay_s, forward.bytes_per_s)
+        self.downstream = _pipe.DirectionState(delay_s, forward.bytes_per_s)
         self.cut = False
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -83,7 +83,7 @@
     async def listen(self) -> None:
         host, _, port = self.forward.listen.rpartition(':')
         self._server = await asyncio.start_server(
-            self._serve, host.strip('[]'), int(port), backlog=1_024
+            self._serve_connection, host.strip('[]'), int(port), backlog=1_024
         )
 
     async def close(self) -> None:
@@ -92,31 +92,33 @@
         await self.reset()
 
     async def reset(self) -> None:
-        """Reset all connections and drop the bytes that they hold."""
+        """Reset all connections and drop their queued bytes."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def select(self, direction: Direction) -> list[_pipe.LineState]:
+    def select_states(
+        self, direction: Direction
+    ) -> list[_pipe.DirectionState]:
         if direction is Direction.UPSTREAM:
-            return [self.there]
+            return [self.upstream]
         if direction is Direction.DOWNSTREAM:
-            return [self.back]
-        return [self.there, self.back]
+            return [self.downstream]
+        return [self.upstream, self.downstream]
 
-    def show(self) -> LinkStatus:
+    def make_status(self) -> LinkStatus:
         return LinkStatus(
             name=self.forward.name,
             connections=len(self._tasks),
-            held_there=self.there.held,
-            held_back=self.back.held,
+            held_there=self.upstream.held,
+            held_back=self.downstream.held,
             cut=self.cut,
-            bytes_there=self.there.forwarded_bytes,
-            bytes_back=self.back.forwarded_bytes,
+            bytes_there=self.upstream.forwarded_bytes,
+            bytes_back=self.downstream.forwarded_bytes,
         )
 
-    async def _serve(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         task = asyncio.current_task()
@@ -126,23 +128,25 @@
         try:
             if self.cut:
                 return
-            await self.there.wait_open()
-            far_reader, far_writer = await self._connect()
-            writers.append(far_writer)
+            await self.upstream.wait_released()
+            upstream_reader, upstream_writer = await self._connect()
+            writers.append(upstream_writer)
             async with asyncio.TaskGroup() as group:
-                there = _pipe.Pipe(self.there, reader, far_writer)
-                back = _pipe.Pipe(self.back, far_reader, writer)
-                group.create_task(there.run())
-                group.create_task(back.run())
-            for end in writers:
-                end.close()
+                upstream = _pipe.Pipe(self.upstream, reader, upstream_writer)
+                downstream = _pipe.Pipe(
+                    self.downstream, upstream_reader, writer
+                )
+                group.create_task(upstream.run())
+                group.create_task(downstream.run())
+            for side in writers:
+                side.close()
         except (OSError, ExceptionGroup, asyncio.CancelledError):
-            # A fault of one side, or a command, ends both sides.
+            # A failure of either side, or a reset by a command, ends both.
             pass
         finally:
             self._tasks.discard(task)
-            for end in writers:
-                _reset_connection(end)
+            for side in writers:
+                _reset_connection(side)
 
     async def _connect(
         self,
@@ -152,23 +156,23 @@
 
 
 def _reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Close a connection with a reset, unless it is closed already."""
+    """Close a connection with a TCP reset unless it is already closed."""
     if writer.is_closing():
         return
-    linger_none = struct.pack('ii', 1, 0)
+    zero_linger = struct.pack('ii', 1, 0)
     with contextlib.suppress(OSError):
         writer.get_extra_info('socket').setsockopt(
-            socket.SOL_SOCKET, socket.SO_LINGER, linger_none
+            socket.SOL_SOCKET, socket.SO_LINGER, zero_linger
         )
     writer.transport.abort()
 
 
 class FaultProxy:
-    """Forwards TCP connections until the context ends."""
+    """Forwards TCP connections and takes commands, until the context ends."""
 
     def __init__(self, options: settings.FaultProxySettings) -> None:
         self._links = [_Link(forward) for forward in options.forwards]
-        self._control = _server.Server(options.control, self._handle)
+        self._control = _server.Server(options.control, self._handle_command)
 
     async def __aenter__(self) -> Self:
         for link in self._links:
@@ -181,26 +185,26 @@
         for link in self._links:
             await link.close()
 
-    async def _handle(
+    async def _handle_command(
         self, request: _server.ServerRequest
     ) -> _server.ServerResponse:
         try:
             command = msgspec.json.decode(request.body, type=ProxyCommand)
         except msgspec.MsgspecError as error:
             return _server.ServerResponse(400, {}, str(error).encode())
-        links = self._match(command.links)
+        links = self._find_links(command.links)
         for link in links:
-            await _apply(link, command)
+            await _apply_command(link, command)
         _log.info(
             'event=command action={} direction={} links={}',
             command.action.value,
             command.direction.value,
             len(links),
         )
-        body = msgspec.json.encode([link.show() for link in links])
+        body = msgspec.json.encode([link.make_status() for link in links])
         return _server.ServerResponse(200, {}, body)
 
-    def _match(self, patterns: list[str]) -> list[_Link]:
+    def _find_links(self, patterns: list[str]) -> list[_Link]:
         return [
             link
             for link in self._links
@@ -211,36 +215,36 @@
         ]
 
 
-async def _apply(link: _Link, command: ProxyCommand) -> None:
-    lines = link.select(command.direction)
+async def _apply_command(link: _Link, command: ProxyCommand) -> None:
+    states = link.select_states(command.direction)
     if command.action is Action.HOLD:
-        for line in lines:
-            line.hold()
+        for state in states:
+            state.hold()
     elif command.action is Action.CUT:
         link.cut = True
         await link.reset()
     elif command.action is Action.HEAL_LATE:
         link.cut = False
-        for line in lines:
-            line.release()
+        for state in states:
+            state.release()
     elif command.action is Action.HEAL_RESET:
         link.cut = False
-        if any(line.held for line in lines):
+        if any(state.held for state in states):
             await link.reset()
-        for line in lines:
-            line.release()
+        for state in states:
+            state.release()
     elif command.action is Action.SHAPE:
-        for line in lines:
-            line.delay_s = command.delay_ms / 1_000
-            line.bytes_per_s = command.bytes_per_s
+        for state in states:
+            state.delay_s = command.delay_ms / 1_000
+            state.bytes_per_s = command.bytes_per_s
 
 
 async def run_faultproxy(options: settings.FaultProxySettings) -> None:
     """Run the fault proxy until SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     async with FaultProxy(options):
         _log.info('event=listening control={}', options.control)
         await stop.wait()
--- a/fulmarseam/standin/_reports.py
+++ b/fulmarseam/standin/_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that tell the truth, lag, lie or stop."""
+"""Load reports of a target: correct, delayed, wrong or missing."""
 
 import collections
 from typing import NamedTuple
@@ -7,18 +7,18 @@
 
 
 class Sample(NamedTuple):
-    """A load at a moment of the monotonic clock."""
+    """A measured load and its time on the monotonic clock."""
 
     time: float
     load: wire.TargetLoad
 
 
-class Reporter:
-    """Turns measured loads into reported ones.
+class LoadReporter:
+    """Derives the reported load from the measured one.
 
     The modes are "true", "lag" (the load of `lag_s` ago), "low" (always
-    idle), "high" (always full), "stuck" (the load at the change to this
-    mode) and "stop" (no load at all).
+    idle), "high" (always full), "stuck" (the first load measured in this
+    mode) and "stop" (no load).
     """
 
     def __init__(self, mode: str, lag_s: float, slots: int) -> None:
@@ -26,17 +26,17 @@
         self._lag_s = lag_s
         self._slots = slots
         self._samples: collections.deque[Sample] = collections.deque()
-        self._stuck: wire.TargetLoad | None = None
+        self._stuck_load: wire.TargetLoad | None = None
 
-    def change_mode(self, mode: str) -> None:
-        """Report in another mode from now on."""
+    def set_mode(self, mode: str) -> None:
+        """Switch to another mode."""
         self._mode = mode
-        self._stuck = None
+        self._stuck_load = None
 
     def report(
         self, now: float, measured: wire.TargetLoad
     ) -> wire.TargetLoad | None:
-        """Return the load to report for the one measured at `now`."""
+        """Record the load measured at `now`; return the load to report."""
         self._samples.append(Sample(now, measured))
         while (
             len(self._samples) > 1
@@ -54,7 +54,7 @@
                 busy_slots=self._slots, queued=self._slots, latency_ms=1_000.0
             )
         if self._mode == 'stuck':
-            if self._stuck is None:
-                self._stuck = measured
-            return self._stuck
+            if self._stuck_load is None:
+                self._stuck_load = measured
+            return self._stuck_load
         return measured
--- a/fulmarseam/standin/_server.py
+++ b/fulmarseam/standin/_server.py
@@ -1,7 +1,8 @@
-"""A small HTTP/1.1 server of the stand-ins, over h11.
+"""A small HTTP/1.1 server for the stand-ins, based on h11.
 
-It shares no code with the entry's server, so that a fault there does not
-hide in the tests. A request whose connection closes is cancelled.
+It shares no code with the HTTP server of the entries: a bug in shared code
+could go unnoticed in tests. The handler of a request is cancelled when the
+connection closes.
 """
 
 import asyncio
@@ -20,7 +21,7 @@
 
 
 class ServerRequest(NamedTuple):
-    """A request with its whole body. Header names are in lower case."""
+    """A request with its complete body; header names are in lower case."""
 
     method: str
     path: str
@@ -29,7 +30,7 @@
 
 
 class ServerResponse(NamedTuple):
-    """An answer. With `truncate` it breaks off half-way in the body."""
+    """A response; with `truncate` only half of the body is sent."""
 
     status: int
     headers: dict[str, str]
@@ -41,10 +42,7 @@
 
 
 class Server:
-    """Serves HTTP on one address until the context ends.
-
-    `opened` counts the connections that are open now.
-    """
+    """Serves HTTP on one address until the context ends."""
 
     def __init__(self, address: str, handler: Handler) -> None:
         self._address = address
@@ -53,14 +51,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def opened(self) -> int:
+    def open_connections(self) -> int:
         """Return the number of open connections."""
         return len(self._tasks)
 
     async def __aenter__(self) -> Self:
         host, _, port = self._address.rpartition(':')
         self._server = await asyncio.start_server(
-            self._serve, host.strip('[]'), int(port), backlog=1_024
+            self._serve_connection, host.strip('[]'), int(port), backlog=1_024
         )
         return self
 
@@ -71,18 +69,18 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _serve(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
         try:
-            await _Session(reader, writer, self._handler).run()
+            await _Connection(reader, writer, self._handler).run()
         except (OSError, h11.ProtocolError) as error:
             _log.debug('event=connection_lost error={!r}', str(error))
         except asyncio.CancelledError:
-            # The stream server logs cancelled sessions as errors.
+            # asyncio logs a cancelled connection callback as an error.
             pass
         finally:
             self._tasks.discard(task)
@@ -90,8 +88,8 @@
                 writer.close()
 
 
-class _Session:
-    """The exchanges of one connection, one after another."""
+class _Connection:
+    """Serves the requests of one connection in sequence."""
 
     def __init__(
         self,
@@ -102,31 +100,33 @@
         self._reader = reader
         self._writer = writer
         self._handler = handler
-        self._state = h11.Connection(h11.SERVER)
+        self._protocol = h11.Connection(h11.SERVER)
 
     async def run(self) -> None:
         while True:
             request = await self._read_request()
             if request is None:
                 return
-            response = await self._handle(request)
+            response = await self._run_handler(request)
             if response is None:
                 return
             await self._send(request, response)
-            if self._state.our_state is not h11.DONE:
+            if self._protocol.our_state is not h11.DONE:
                 return
-            if self._state.their_state is not h11.DONE:
+            if self._protocol.their_state is not h11.DONE:
                 return
-            self._state.start_next_cycle()
+            self._protocol.start_next_cycle()
 
     async def _read_request(self) -> ServerRequest | None:
         head: h11.Request | None = None
         parts: list[bytes] = []
         while True:
-            event = self._state.next_event()
+            event = self._protocol.next_event()
             if event is h11.NEED_DATA:
-                await self._invite_body()
-                self._state.receive_data(await self._reader.read(READ_BYTES))
+                await self._send_continue()
+                self._protocol.receive_data(
+                    await self._reader.read(READ_BYTES)
+                )
             elif isinstance(event, h11.Request):
                 head = event
             elif isinstance(event, h11.Data):
@@ -136,36 +136,38 @@
             else:
                 return None
 
-    async def _invite_body(self) -> None:
-        if not self._state.they_are_waiting_for_100_continue:
+    async def _send_continue(self) -> None:
+        if not self._protocol.they_are_waiting_for_100_continue:
             return
         head = h11.InformationalResponse(status_code=100, headers=[])
-        self._writer.write(self._state.send(head) or b'')
+        self._writer.write(self._protocol.send(head) or b'')
         await self._writer.drain()
 
-    async def _handle(self, request: ServerRequest) -> ServerResponse | None:
-        """Run the handler; return nothing when the connection closed."""
-        work = asyncio.ensure_future(self._handler(request))
-        watch = asyncio.ensure_future(self._watch())
+    async def _run_handler(
+        self, request: ServerRequest
+    ) -> ServerResponse | None:
+        """Run the handler; return None if the connection closes first."""
+        handling = asyncio.ensure_future(self._handler(request))
+        disconnect = asyncio.ensure_future(self._wait_disconnect())
         try:
             await asyncio.wait(
-                (work, watch), return_when=asyncio.FIRST_COMPLETED
+                (handling, disconnect), return_when=asyncio.FIRST_COMPLETED
             )
-            if work.done():
-                return work.result()
+            if handling.done():
+                return handling.result()
             return None
         finally:
-            for task in (work, watch):
+            for task in (handling, disconnect):
                 task.cancel()
-            await asyncio.gather(work, watch, return_exceptions=True)
+            await asyncio.gather(handling, disconnect, return_exceptions=True)
 
-    async def _watch(self) -> None:
-        """Return when the other side closes the connection."""
+    async def _wait_disconnect(self) -> None:
+        """Wait until the peer closes the connection."""
         while True:
             data = await self._reader.read(READ_BYTES)
             if not data:
                 return
-            self._state.receive_data(data)
+            self._protocol.receive_data(data)
 
     async def _send(
         self, request: ServerRequest, response: ServerResponse
@@ -175,16 +177,16 @@
         head = h11.Response(
             status_code=response.status, headers=list(headers.items())
         )
-        parts = [self._state.send(head) or b'']
+        parts = [self._protocol.send(head) or b'']
         body = response.body if request.method != 'HEAD' else b''
         if response.truncate:
             self._writer.write(b''.join(parts) + body[: len(body) // 2])
             await self._writer.drain()
-            self._state.send_failed()
+            self._protocol.send_failed()
             return
         if body:
-            parts.append(self._state.send(h11.Data(data=body)) or b'')
-        parts.append(self._state.send(h11.EndOfMessage()) or b'')
+            parts.append(self._protocol.send(h11.Data(data=body)) or b'')
+        parts.append(self._protocol.send(h11.EndOfMessage()) or b'')
         self._writer.write(b''.join(parts))
         await self._writer.drain()
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -78,7 +78,7 @@
         self.assertGreater(good, 70)
         self.assertEqual(len(calls), len({call.mark for call in calls}))
         for summary in summaries:
-            self.assertGreaterEqual(summary.read_percentile_ms(50), 400)
+            self.assertGreaterEqual(summary.get_percentile_ms(50), 400)
 
     async def test_refused_connection_is_recorded_as_not_run(self) -> None:
         options = make_options()
@@ -96,23 +96,23 @@
     ADDRESSES = ('a', 'b', 'c')
 
     def choose(
-        self, policy: str, outstanding: _direct.Outstanding
+        self, policy: str, outstanding: _direct.OutstandingCounter
     ) -> collections.Counter[str]:
-        choose = _direct.make_choice(policy, random.Random(1), outstanding)
+        choose = _direct.make_chooser(policy, random.Random(1), outstanding)
         return collections.Counter(
             choose(self.ADDRESSES) for _ in range(3_000)
         )
 
     def test_random_ignores_requests_in_flight(self) -> None:
-        outstanding = _direct.Outstanding()
-        outstanding.change('a', 5)
+        outstanding = _direct.OutstandingCounter()
+        outstanding.add('a', 5)
         counts = self.choose('random', outstanding)
         for address in self.ADDRESSES:
             self.assertAlmostEqual(1_000, counts[address], delta=100)
 
     def test_least_outstanding_spreads_over_the_idle(self) -> None:
-        outstanding = _direct.Outstanding()
-        outstanding.change('a', 1)
+        outstanding = _direct.OutstandingCounter()
+        outstanding.add('a', 1)
         counts = self.choose('least-outstanding', outstanding)
         self.assertEqual(0, counts['a'])
         self.assertAlmostEqual(1_500, counts['b'], delta=150)
--- a/tests/test_target.py
+++ b/tests/test_target.py
@@ -15,7 +15,7 @@
 from fulmarseam.bench import _waiting
 from fulmarseam.standin import _server
 from fulmarseam.standin import _target
-from fulmarseam.standin import _work
+from fulmarseam.standin import _worker
 from tests import _loopback
 
 
@@ -170,7 +170,7 @@
     """Guards against modes that report something else than they say."""
 
     def report(self, mode: str) -> list[wire.TargetLoad | None]:
-        reporter = standin.Reporter(mode, lag_s=2.0, slots=4)
+        reporter = standin.LoadReporter(mode, lag_s=2.0, slots=4)
         return [
             reporter.report(float(now), wire.TargetLoad(busy_slots=now))
             for now in range(5)
@@ -196,7 +196,8 @@
             service = settings.ServiceTime(name, 10.0, 0.5)
             rng = random.Random(1)
             drawn = [
-                _work.draw_service_s(service, rng, 0.0) for _ in range(20_000)
+                _worker.draw_service_time_s(service, rng, 0.0)
+                for _ in range(20_000)
             ]
             self.assertAlmostEqual(0.010, sum(drawn) / 20_000, delta=0.0005)
 
@@ -204,7 +205,7 @@
         service = settings.ServiceTime('fixed', 10.0, 0.0, 10.0, 5.0)
         rng = random.Random(1)
         drawn = [
-            round(_work.draw_service_s(service, rng, age), 4)
+            round(_worker.draw_service_time_s(service, rng, age), 4)
             for age in (0.0, 5.0, 10.0)
         ]
         self.assertEqual([0.05, 0.03, 0.01], drawn)
