--- a/fulmarseam/commands/__init__.py
+++ b/fulmarseam/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command lines of the programs, one module for each."""
+"""Command line interfaces, one module for each program."""
--- a/fulmarseam/commands/__main__.py
+++ b/fulmarseam/commands/__main__.py
@@ -1,4 +1,4 @@
-"""Dispatches to the programs: `python -m fulmarseam.commands NAME`."""
+"""Runs a program by its name: `python -m fulmarseam.commands NAME`."""
 
 import importlib
 import sys
--- a/fulmarseam/commands/_ctl_client.py
+++ b/fulmarseam/commands/_ctl_client.py
@@ -1,4 +1,4 @@
-"""Calls of the operator's tool to the control group."""
+"""Client of the operator's tool for the control group."""
 
 import asyncio
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 from fulmarseam import wire
 
 RETRY_PAUSE_S = 0.2
-_RETRIED = frozenset(
+_RETRIED_KINDS = frozenset(
     {
         errors.ErrorKind.NOT_LEADER,
         errors.ErrorKind.UNAVAILABLE,
@@ -22,18 +22,18 @@
 
 
 class AdminClient:
-    """Calls the leader of the control group and follows its changes.
+    """Sends requests to the leader of the control group.
 
-    Requests may be sent more than once: reads change nothing, and edits
-    carry an edit id.
+    Follows changes of the leader and retries requests. This is safe: reads
+    have no side effects, and edits are recognized by their edit id.
     """
 
     def __init__(self, options: settings.CtlSettings) -> None:
         self._addresses: dict[str, str] = {
             str(member): address for member, address in options.control.items()
         }
-        self._attempt_s = options.call_timeout_ms / 1_000
-        self._total_s = options.timeout_ms / 1_000
+        self._attempt_timeout_s = options.call_timeout_ms / 1_000
+        self._total_timeout_s = options.timeout_ms / 1_000
         self._leader: str | None = None
         self._clients: dict[str, transport.RpcClient] = {}
         self._stack = contextlib.AsyncExitStack()
@@ -45,47 +45,53 @@
         await self._stack.aclose()
 
     async def call(self, message: wire.Message) -> wire.Message:
-        """Return the leader's answer.
+        """Return the response of the leader.
 
-        Raises `errors.FulmarseamError` with the kind of the failure, or
-        the last problem of each member when none answered in time.
+        Raises `errors.FulmarseamError` with the kind of the failure, or with
+        the last failure of each member if none answered in time.
         """
-        end = time.monotonic() + self._total_s
-        problems: dict[str, errors.FulmarseamError] = {}
+        deadline = time.monotonic() + self._total_timeout_s
+        failures: dict[str, errors.FulmarseamError] = {}
         if self._leader is None:
             await self._find_leader()
         while True:
             for member in list(self._list_members()):
-                left = end - time.monotonic()
-                if left <= 0:
-                    raise _summarize(problems)
+                remaining_s = deadline - time.monotonic()
+                if remaining_s <= 0:
+                    raise _combine_failures(failures)
                 try:
-                    return await self._call_member(member, message, left)
+                    return await self._call_member(
+                        member, message, remaining_s
+                    )
                 except errors.FulmarseamError as error:
-                    if error.kind not in _RETRIED:
+                    if error.kind not in _RETRIED_KINDS:
                         raise
-                    problems[member] = error
-                    if await self._follow_hint(member, error):
+                    failures[member] = error
+                    if await self._follow_leader_hint(member, error):
                         break
             else:
                 await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def call_each(
+    async def call_all_members(
         self, message: wire.Message
     ) -> dict[str, wire.Message | errors.FulmarseamError]:
-        """Return the answer or failure of each known member."""
+        """Return the response or failure of each known member."""
 
-        async def ask(member: str) -> wire.Message | errors.FulmarseamError:
+        async def call_member(
+            member: str,
+        ) -> wire.Message | errors.FulmarseamError:
             try:
                 return await self._call_member(
-                    member, message, self._attempt_s
+                    member, message, self._attempt_timeout_s
                 )
             except errors.FulmarseamError as error:
                 return error
 
         members = list(self._addresses)
-        answers = await asyncio.gather(*(ask(member) for member in members))
-        return dict(zip(members, answers, strict=True))
+        responses = await asyncio.gather(
+            *(call_member(member) for member in members)
+        )
+        return dict(zip(members, responses, strict=True))
 
     async def call_address(
         self,
@@ -93,20 +99,22 @@
         message: wire.Message,
         timeout_s: float | None = None,
     ) -> wire.Message:
-        """Return the answer of the process at an address.
+        """Return the response of the process at an address.
 
-        The time-out of one attempt applies unless `timeout_s` is given.
+        `timeout_s` replaces the timeout of one attempt.
         """
         client = self._clients.get(address)
         if client is None:
             client = transport.RpcClient(address)
             await self._stack.enter_async_context(client)
             self._clients[address] = client
-        answer = await client.call(message, timeout_s or self._attempt_s)
-        return _raise_failure(answer)
+        response = await client.call(
+            message, timeout_s or self._attempt_timeout_s
+        )
+        return _raise_failure(response)
 
     def _list_members(self) -> Iterator[str]:
-        """Yield the members, the presumed leader first."""
+        """Yield the members, the last known leader first."""
         if self._leader in self._addresses:
             yield self._leader
         for member in list(self._addresses):
@@ -114,22 +122,24 @@
                 yield member
 
     async def _call_member(
-        self, member: str, message: wire.Message, left_s: float
+        self, member: str, message: wire.Message, remaining_s: float
     ) -> wire.Message:
         return await self.call_address(
-            self._addresses[member], message, min(left_s, self._attempt_s)
+            self._addresses[member],
+            message,
+            min(remaining_s, self._attempt_timeout_s),
         )
 
     async def _find_leader(self) -> None:
-        """Ask all members at once and take the first leader named.
+        """Ask all members at once and keep the first leader named.
 
-        One after the other, each member that is down would cost the
-        time-out of an attempt.
+        In sequence, each member that is down would delay the search by the
+        timeout of an attempt.
         """
         calls = [
             asyncio.create_task(
                 self._call_member(
-                    member, wire.StatusRequest(), self._attempt_s
+                    member, wire.StatusRequest(), self._attempt_timeout_s
                 )
             )
             for member in self._addresses
@@ -137,77 +147,80 @@
         try:
             for call in asyncio.as_completed(calls):
                 with contextlib.suppress(errors.FulmarseamError):
-                    found = await call
-                    if isinstance(found, wire.StatusResponse) and found.leader:
-                        self._note_members(found)
-                        self._leader = found.leader
+                    status = await call
+                    if (
+                        isinstance(status, wire.StatusResponse)
+                        and status.leader
+                    ):
+                        self._add_addresses(status)
+                        self._leader = status.leader
                         return
         finally:
-            for task in calls:
-                task.cancel()
+            for call_task in calls:
+                call_task.cancel()
             await asyncio.gather(*calls, return_exceptions=True)
 
-    async def _follow_hint(
+    async def _follow_leader_hint(
         self, member: str, error: errors.FulmarseamError
     ) -> bool:
-        """Note the leader that a member named; return whether it is news."""
+        """Store the leader that a member named; return whether to call it."""
         if not isinstance(error, errors.NotLeaderError):
             return False
         leader = error.leader
         if leader is None or leader == self._leader:
             return False
         if leader not in self._addresses:
-            await self._learn_members(member)
+            await self._fetch_addresses(member)
         if leader not in self._addresses:
             return False
         self._leader = leader
         return leader != member
 
-    async def _learn_members(self, member: str) -> None:
-        """Ask a member for the addresses of the group.
+    async def _fetch_addresses(self, member: str) -> None:
+        """Fetch the addresses of the group from a member.
 
-        Addresses given to this tool are kept, since they may differ from
-        those between the members.
+        Addresses from the settings are kept, since they may differ from
+        those that the members use among themselves.
         """
         try:
-            found = await self.call_address(
+            status = await self.call_address(
                 self._addresses[member], wire.StatusRequest()
             )
         except errors.FulmarseamError:
             return
-        if isinstance(found, wire.StatusResponse):
-            self._note_members(found)
+        if isinstance(status, wire.StatusResponse):
+            self._add_addresses(status)
 
-    def _note_members(self, status: wire.StatusResponse) -> None:
-        for row in status.members:
-            self._addresses.setdefault(row.member, row.address)
+    def _add_addresses(self, status: wire.StatusResponse) -> None:
+        for member_row in status.members:
+            self._addresses.setdefault(member_row.member, member_row.address)
 
 
-def _raise_failure(answer: wire.Message) -> wire.Message:
-    """Return an answer, or raise the failure that it holds."""
-    if not isinstance(answer, wire.Failure):
-        return answer
-    kind = errors.ErrorKind(answer.kind)
+def _raise_failure(response: wire.Message) -> wire.Message:
+    """Return a response, or raise the failure that it holds."""
+    if not isinstance(response, wire.Failure):
+        return response
+    kind = errors.ErrorKind(response.kind)
     if kind is errors.ErrorKind.NOT_LEADER:
-        raise errors.NotLeaderError(answer.leader)
-    raise errors.FulmarseamError(kind, answer.detail)
+        raise errors.NotLeaderError(response.leader)
+    raise errors.FulmarseamError(kind, response.detail)
 
 
-def _summarize(
-    problems: dict[str, errors.FulmarseamError],
+def _combine_failures(
+    failures: dict[str, errors.FulmarseamError],
 ) -> errors.FulmarseamError:
-    """Return one error for the last problems of all members."""
-    kinds = {error.kind for error in problems.values()}
+    """Return one error for the last failures of all members."""
+    kinds = {error.kind for error in failures.values()}
     details = '; '.join(
-        f'{member}: {error.detail}' for member, error in problems.items()
+        f'{member}: {error.detail}' for member, error in failures.items()
     )
     kind = errors.ErrorKind.UNAVAILABLE
-    for uncertain in (
+    for candidate in (
         errors.ErrorKind.PROPOSAL_UNCERTAIN,
         errors.ErrorKind.NOT_LEADER,
     ):
-        if uncertain in kinds:
-            kind = uncertain
+        if candidate in kinds:
+            kind = candidate
             break
     return errors.FulmarseamError(
         kind, f'no control leader answered in time: {details}'
--- a/fulmarseam/commands/_ctl_edits.py
+++ b/fulmarseam/commands/_ctl_edits.py
@@ -1,4 +1,4 @@
-"""Commands of the operator's tool that change tables."""
+"""Commands of the operator's tool that edit tables."""
 
 from collections.abc import Callable
 import dataclasses
@@ -18,15 +18,16 @@
 from fulmarseam.commands import _ctl_tables
 from fulmarseam.commands import _ctl_waiting
 
-AnswerT = TypeVar('AnswerT', bound=wire.Message)
+ResponseT = TypeVar('ResponseT', bound=wire.Message)
 
 
 @dataclasses.dataclass(frozen=True)
 class EditOptions:
     """How an edit is sent and reported.
 
-    `edit_id` is set to send an edit again. `wait_s` is the time to wait
-    until the edit is in force everywhere, or None not to wait.
+    `edit_id` is the id of an earlier edit, to send it again. `wait_s` is how
+    long to wait until the edit is in force on all entries; None means not
+    to wait.
     """
 
     edit_id: str | None
@@ -37,79 +38,86 @@
 async def fetch_tables(
     client: _ctl_client.AdminClient, *tables: wire.TableName
 ) -> wire.TablesResponse:
-    """Return the rows of the tables named, or of all.
+    """Return the rows of the given tables, or of all tables.
 
-    The rows of the blocks table are added to those sent one by one.
+    Decodes the rows of the blocks table, which are sent as one image.
     """
     request = wire.TablesRequest(tables=list(tables))
-    found = expect(await client.call(request), wire.TablesResponse)
-    if not found.blocks:
-        return found
+    response = check_response_type(
+        await client.call(request), wire.TablesResponse
+    )
+    if not response.blocks:
+        return response
     rows = store.Tables()
-    rows.load_blocks(found.blocks)
+    rows.load_blocks(response.blocks)
     return msgspec.structs.replace(
-        found, changes=found.changes + rows.dump([wire.TableName.BLOCKS])
+        response, changes=response.changes + rows.dump([wire.TableName.BLOCKS])
     )
 
 
-def expect(answer: wire.Message, expected: type[AnswerT]) -> AnswerT:
-    """Return an answer of the expected type.
+def check_response_type(
+    response: wire.Message, expected: type[ResponseT]
+) -> ResponseT:
+    """Return a response that has the expected type.
 
-    Raises `errors.WireError` for another one.
+    Raises `errors.WireError` for any other type.
     """
-    if not isinstance(answer, expected):
+    if not isinstance(response, expected):
         raise errors.WireError(
-            f'found answer {type(answer).__name__}, expected '
+            f'found response {type(response).__name__}, expected '
             f'{expected.__name__}'
         )
-    return answer
+    return response
 
 
 async def diff_file(client: _ctl_client.AdminClient, path: str) -> list[str]:
-    """Return what applying a file would change."""
-    wanted = _ctl_tables.read_tables(path)
-    if not wanted:
+    """Return a line for each row that applying a file would change."""
+    desired = _ctl_tables.read_tables(path)
+    if not desired:
         return []
-    found = await fetch_tables(client, *wanted)
-    changes = _ctl_tables.find_changes(wanted, found.changes)
-    return _ctl_tables.describe_changes(changes, found.changes)
+    response = await fetch_tables(client, *desired)
+    changes = _ctl_tables.find_changes(desired, response.changes)
+    return _ctl_tables.describe_changes(changes, response.changes)
 
 
 async def apply_file(
     client: _ctl_client.AdminClient, path: str, options: EditOptions
 ) -> None:
-    """Make the tables that a file names equal to it."""
-    wanted = _ctl_tables.read_tables(path)
-    if not wanted:
-        raise errors.UsageError(f'{path}: found no table, expected one')
+    """Replace the rows of all tables that a file contains."""
+    desired = _ctl_tables.read_tables(path)
+    if not desired:
+        raise errors.UsageError(
+            f'{path}: found no table, expected at least one'
+        )
 
-    def plan(current: list[wire.Change]) -> list[wire.Change]:
-        return _ctl_tables.find_changes(wanted, current)
+    def plan_changes(current: list[wire.Change]) -> list[wire.Change]:
+        return _ctl_tables.find_changes(desired, current)
 
-    content = f'apply {_ctl_tables.digest_rows(wanted)}'
-    await submit(client, options, content, list(wanted), plan)
+    content = f'apply {_ctl_tables.digest_rows(desired)}'
+    await submit_edit(client, options, content, list(desired), plan_changes)
 
 
-async def set_row(
+async def add_row(
     client: _ctl_client.AdminClient,
     options: EditOptions,
     row: wire.Row,
     content: str,
 ) -> None:
-    """Add a row under a new name."""
+    """Add a row; refuse a name that exists already."""
     table = store.TABLE_NAMES[type(row)]
 
-    def plan(current: list[wire.Change]) -> list[wire.Change]:
+    def plan_changes(current: list[wire.Change]) -> list[wire.Change]:
         if options.edit_id is None and any(
             change.key == row.name for change in current
         ):
             raise errors.FulmarseamError(
                 errors.ErrorKind.INVALID_EDIT,
-                f'{table.value}.{row.name}: exists; give another --name',
+                f'{table.value}.{row.name}: exists; choose another '
+                'name with --name',
             )
         return [store.make_change(row)]
 
-    await submit(client, options, content, [table], plan)
+    await submit_edit(client, options, content, [table], plan_changes)
 
 
 async def cancel_row(
@@ -120,66 +128,66 @@
 ) -> None:
     """Cancel a drain or shift."""
 
-    def plan(current: list[wire.Change]) -> list[wire.Change]:
+    def plan_changes(current: list[wire.Change]) -> list[wire.Change]:
         for change in current:
             if change.key == name and change.row is not None:
                 row = msgspec.structs.replace(
-                    change.row, state=_cancelled(change.row)
+                    change.row, state=_get_cancelled_state(change.row)
                 )
                 return [store.make_change(row)]
-        known = ', '.join(change.key for change in current) or 'there is none'
+        known = ', '.join(change.key for change in current) or '(none exists)'
         raise errors.FulmarseamError(
             errors.ErrorKind.NOT_FOUND,
             f'{table.value}.{name}: not found, expected one of: {known}',
         )
 
     content = f'cancel {table.value} {name}'
-    await submit(client, options, content, [table], plan)
+    await submit_edit(client, options, content, [table], plan_changes)
 
 
-def _cancelled(row: wire.Row) -> wire.DrainState | wire.ShiftState:
+def _get_cancelled_state(row: wire.Row) -> wire.DrainState | wire.ShiftState:
     if isinstance(row, wire.Drain):
         return wire.DrainState.CANCELLED
     return wire.ShiftState.CANCELLED
 
 
-async def submit(
+async def submit_edit(
     client: _ctl_client.AdminClient,
     options: EditOptions,
     content: str,
     tables: list[wire.TableName],
-    plan: Callable[[list[wire.Change]], list[wire.Change]],
+    plan_changes: Callable[[list[wire.Change]], list[wire.Change]],
 ) -> None:
-    """Show the changes planned on the current rows and send the edit.
+    """Plan the changes to the current rows, print them and send the edit.
 
-    An edit that is sent again goes out although nothing is left to change,
-    to learn its first result.
+    A repeated edit is sent even if there is nothing left to change, to get
+    the result of its first use.
     """
-    found = await fetch_tables(client, *tables)
-    changes = plan(found.changes)
-    lines = _ctl_tables.describe_changes(changes, found.changes)
+    response = await fetch_tables(client, *tables)
+    changes = plan_changes(response.changes)
+    lines = _ctl_tables.describe_changes(changes, response.changes)
     if options.output_format == 'table':
         print('\n'.join(lines) or 'no changes')
     if not changes and options.edit_id is None:
-        await finish(client, options, None, found.revision, lines)
+        await report_edit(client, options, None, response.revision, lines)
         return
-    edit_id = announce_edit_id(options)
+    edit_id = print_edit_id(options)
     edit = wire.Edit(
         edit_id=edit_id,
-        base={table: found.versions[table] for table in tables},
+        base={table: response.versions[table] for table in tables},
         changes=changes,
         content=content,
     )
     if len(changes) > store.MAX_CHANGES:
-        edit = _send_blocks_as_image(edit, found.changes)
+        edit = _send_blocks_as_image(edit, response.changes)
     result = await send_edit(client, edit)
-    await finish(client, options, edit_id, result.revision, lines)
+    await report_edit(client, options, edit_id, result.revision, lines)
 
 
 def _send_blocks_as_image(
     edit: wire.Edit, current: list[wire.Change]
 ) -> wire.Edit:
-    """Return the edit with all its blocks in one image."""
+    """Return the edit with its changes of blocks replaced by an image."""
     table = wire.TableName.BLOCKS
     rows = store.Tables()
     rows.change_rows(change for change in current if change.table is table)
@@ -195,17 +203,17 @@
     )
 
 
-def announce_edit_id(options: EditOptions) -> ids.EditId:
-    """Return the id of an edit and print it.
+def print_edit_id(options: EditOptions) -> ids.EditId:
+    """Choose the id of an edit, print it and return it.
 
-    It is printed before the edit is sent, so that an edit whose answer is
-    lost can be sent again under its id.
+    The id is printed before the edit is sent, so that an edit whose response
+    is lost can be repeated with the same id.
     """
     edit_id = options.edit_id or uuid.uuid4().hex
-    human = options.output_format == 'table'
+    is_table = options.output_format == 'table'
     print(
         f'edit_id: {edit_id}',
-        file=sys.stdout if human else sys.stderr,
+        file=sys.stdout if is_table else sys.stderr,
         flush=True,
     )
     return ids.EditId(edit_id)
@@ -214,13 +222,14 @@
 async def send_edit(
     client: _ctl_client.AdminClient, edit: wire.Edit | wire.Restore
 ) -> wire.EditResult:
-    """Send an edit and return its accepted result.
+    """Send an edit and return its result if it was accepted.
 
-    Raises `errors.FulmarseamError` with the reasons of a refusal. When the
-    fate of the edit is unknown the message names the id to send again.
+    Raises `errors.FulmarseamError` with the reasons of a refusal. If it is
+    unknown whether the edit was accepted, the message names the id for
+    repeating it.
     """
     try:
-        result = expect(await client.call(edit), wire.EditResult)
+        result = check_response_type(await client.call(edit), wire.EditResult)
     except errors.FulmarseamError as error:
         if error.kind in {
             errors.ErrorKind.PROPOSAL_UNCERTAIN,
@@ -228,8 +237,8 @@
         }:
             raise errors.FulmarseamError(
                 errors.ErrorKind.PROPOSAL_UNCERTAIN,
-                f'{error.detail}; the edit may have been accepted, send it '
-                f'again with --edit_id={edit.edit_id}',
+                f'{error.detail}; the edit may have been accepted; repeat '
+                f'it with --edit_id={edit.edit_id}',
             ) from error
         raise
     if result.kind is None:
@@ -238,14 +247,14 @@
     raise errors.FulmarseamError(errors.ErrorKind(result.kind), detail)
 
 
-async def finish(
+async def report_edit(
     client: _ctl_client.AdminClient,
     options: EditOptions,
     edit_id: str | None,
     revision: int,
     lines: list[str],
 ) -> None:
-    """Report an accepted edit and wait for it if asked to."""
+    """Print an accepted edit and wait until it is in force if requested."""
     started = time.monotonic()
     if options.output_format == 'table':
         print(f'accepted: revision {revision}')
@@ -253,6 +262,6 @@
         record = {'edit_id': edit_id, 'revision': revision, 'changes': lines}
         print(_ctl_output.render([record], options.output_format))
     if options.wait_s is not None:
-        await _ctl_waiting.wait_in_force(
+        await _ctl_waiting.wait_until_in_force(
             client, revision, started + options.wait_s
         )
--- a/fulmarseam/commands/_ctl_explain.py
+++ b/fulmarseam/commands/_ctl_explain.py
@@ -1,4 +1,4 @@
-"""The way of one request, from the log lines of all processes."""
+"""Explains the outcome of a request from the logs of all processes."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -11,17 +11,17 @@
 from fulmarseam import telemetry
 
 STANDARD_INPUT = '-'
-# Lines about the targets and the entry of a request are shown from this
-# time before its arrival on. A target is dropped after 4 missed
-# announcements of 1.5 s, so what decided is at most about as old.
-CONTEXT_S = 6.0
-# Lines of other hosts may seem later than they are: clocks that are set by
-# the network differ by far less than a second.
+# Related log lines are shown from this long before the request arrived. A
+# target is dropped after 4 missed announcements, 1.5 s apart, so the cause
+# of an outcome is at most about 6 s old.
+LOOKBACK_S = 6.0
+# Log lines of other hosts may bear later times, since clocks differ. Clocks
+# synchronized over the network differ by far less than a second.
 CLOCK_SKEW_S = 1.0
 
-_FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+_FIELD_PATTERN = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 _REQUEST_EVENT = 'request_ended'
-# What the entry itself did or believed.
+# Events of the entry that handled the request.
 _ENTRY_EVENTS = frozenset(
     {
         'catalog_in_force',
@@ -33,8 +33,8 @@
         'stopped',
     }
 )
-# What the control members decided.
-_GROUP_EVENTS = frozenset(
+# Decisions of the control members.
+_CONTROL_EVENTS = frozenset(
     {
         'evacuation',
         'items_accepted',
@@ -45,34 +45,34 @@
     }
 )
 
-_MEANINGS = {
-    'answered': 'The target ran the request and its answer was passed on.',
+_OUTCOME_TEXTS = {
+    'answered': 'The target ran the request and its response was passed on.',
     errors.ErrorKind.NO_CAPACITY.value: (
-        'It was never sent: no target had room for it, as the detail says.'
+        'It was never sent: no target had capacity for it, see the detail.'
     ),
     errors.ErrorKind.TARGET_SHED.value: (
-        'No target ran it: those that were asked refused it.'
+        'No target ran it: each target that was tried refused it.'
     ),
     errors.ErrorKind.TARGET_FAILED.value: (
         'It was sent and may have run: the connection or the target failed.'
     ),
     errors.ErrorKind.TARGET_TIMEOUT.value: (
-        'It was sent and may have run: no answer came in time.'
+        'It was sent and may have run: no response came in time.'
     ),
     errors.ErrorKind.CONFIG_STALE.value: (
         'It was never sent: the entry had no configuration yet.'
     ),
     errors.ErrorKind.NO_ROUTE.value: (
-        'It was never sent: no route of the configuration in force takes it.'
+        'It was never sent: no route of the current configuration matches.'
     ),
     errors.ErrorKind.CALLER_GONE.value: (
-        'The caller closed its connection before the answer was there.'
+        'The caller closed its connection before the response was ready.'
     ),
 }
 
 
 class Event(NamedTuple):
-    """One log line; `time_s` in seconds of the epoch."""
+    """One log line; `time_s` is in seconds since the epoch."""
 
     time_s: float
     source: str
@@ -85,7 +85,7 @@
 
 
 def explain(request_id: str, paths: list[str]) -> str:
-    """Return what the logs tell about a request, the oldest line first.
+    """Return the outcome of a request and the related log lines in order.
 
     `paths` are log files of any processes, or `-` for standard input.
     Raises `errors.UsageError` for a file that cannot be read, and
@@ -101,25 +101,26 @@
     if not ended:
         raise errors.FulmarseamError(
             errors.ErrorKind.NOT_FOUND,
-            f'{request_id}: found no line in {len(events)}, expected one of '
-            'an entry; it reached none of these entries, or requests_omitted '
-            'counts it',
+            f'{request_id}: found no request_ended line among '
+            f'{len(events)} events; the request reached none of these '
+            'entries, or its line is one of those that requests_omitted '
+            'counts',
         )
     lines: list[str] = []
     for event in ended:
-        lines.extend(_explain_end(event, events))
+        lines.extend(_explain_request_end(event, events))
     return '\n'.join(lines)
 
 
-def _explain_end(ended: Event, events: list[Event]) -> list[str]:
-    """Return the lines about one pass of a request through an entry."""
+def _explain_request_end(ended: Event, events: list[Event]) -> list[str]:
+    """Return the lines about a request at one entry."""
     fields = ended.fields
     outcome = fields.get('outcome', '')
     lines = [
         f'{fields.get("id")} through {ended.source}: {outcome}, '
         f'status {fields.get("status")}, after {fields.get("elapsed_s")} s '
         f'with {fields.get("time_left_s")} s left',
-        f'  {_MEANINGS.get(outcome, "See the page of error kinds.")}',
+        f'  {_OUTCOME_TEXTS.get(outcome, "See the list of error kinds.")}',
     ]
     if fields.get('detail'):
         lines.append(f'  {fields["detail"]}')
@@ -130,13 +131,13 @@
     lines.extend(
         f'  {event.time_s - ended.time_s:+8.3f} s {event.source}: '
         + ' '.join(f'{key}={text}' for key, text in event.fields.items())
-        for event in find_context(ended, events)
+        for event in find_related_events(ended, events)
     )
     return lines
 
 
-def find_context(ended: Event, events: Iterable[Event]) -> list[Event]:
-    """Return the events that can have decided about a request."""
+def find_related_events(ended: Event, events: Iterable[Event]) -> list[Event]:
+    """Return the events that may have affected a request."""
     arrived_s = ended.time_s - float(ended.fields.get('elapsed_s', 0.0))
     targets = {
         attempt.partition(':')[0] for attempt in _list_attempts(ended.fields)
@@ -144,13 +145,13 @@
     return [
         event
         for event in events
-        if arrived_s - CONTEXT_S <= event.time_s
+        if arrived_s - LOOKBACK_S <= event.time_s
         and event.time_s <= ended.time_s + CLOCK_SKEW_S
-        and _concerns(event, ended.source, targets)
+        and _is_related(event, ended.source, targets)
     ]
 
 
-def _concerns(event: Event, entry: str, targets: set[str]) -> bool:
+def _is_related(event: Event, entry: str, targets: set[str]) -> bool:
     if event.name == _REQUEST_EVENT:
         return False
     if event.fields.get('target') in targets:
@@ -159,7 +160,7 @@
         return True
     if event.source == entry:
         return event.name in _ENTRY_EVENTS
-    return event.name in _GROUP_EVENTS
+    return event.name in _CONTROL_EVENTS
 
 
 def _list_attempts(fields: dict[str, str]) -> list[str]:
@@ -179,13 +180,14 @@
 
 
 def read_events(source: str, lines: Iterable[str]) -> Iterator[Event]:
-    """Yield the events of log lines; other lines are left out::
+    """Yield the events of log lines, skipping other lines::
 
     list(read_events('edge-1.log', ['time=... event=started']))
     """
     for line in lines:
         fields = {
-            key: telemetry.unquote(text) for key, text in _FIELD.findall(line)
+            key: telemetry.unquote(text)
+            for key, text in _FIELD_PATTERN.findall(line)
         }
         time_s = _read_time(fields.pop('time', ''))
         if time_s is None or 'event' not in fields:
@@ -196,7 +198,7 @@
 
 
 def _read_time(text: str) -> float | None:
-    """Return the time of a line in seconds of the epoch, if it has one."""
+    """Return a log time in seconds since the epoch, or None if invalid."""
     try:
         return datetime.datetime.fromisoformat(text).timestamp()
     except ValueError:
--- a/fulmarseam/commands/_ctl_output.py
+++ b/fulmarseam/commands/_ctl_output.py
@@ -1,4 +1,4 @@
-"""Output of the operator's tool: tables, JSON and YAML."""
+"""Output formats of the operator's tool: table, JSON and YAML."""
 
 from collections.abc import Sequence
 import datetime
@@ -10,11 +10,11 @@
 
 Record = dict[str, Any]
 
-NOTHING = '-'
+EMPTY_CELL = '-'
 
 
 def to_record(row: msgspec.Struct) -> Record:
-    """Return the fields of a row without its tag."""
+    """Return the fields of a row without its type tag."""
     record: Record = msgspec.to_builtins(row)
     record.pop('type', None)
     return record
@@ -30,7 +30,7 @@
 
 
 def render_table(records: Sequence[Record]) -> str:
-    """Return records in aligned columns under their field names."""
+    """Return records in aligned columns with field names as headers."""
     if not records:
         return '(none)'
     names = list(records[0])
@@ -52,19 +52,19 @@
 
 
 def format_value(value: Any) -> str:
-    """Return the text of one cell."""
+    """Return the text of a table cell."""
     if value is None or value == '' or value == []:
-        return NOTHING
+        return EMPTY_CELL
     if isinstance(value, bool):
         return 'yes' if value else 'no'
     if isinstance(value, float):
         return f'{value:g}'
     if isinstance(value, list):
-        return ','.join(format_value(item) for item in value)
+        return ','.join(format_value(element) for element in value)
     return str(value)
 
 
 def format_time(seconds: float) -> str:
-    """Return a time since the epoch in ISO form."""
-    moment = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
-    return moment.isoformat(timespec='seconds').replace('+00:00', 'Z')
+    """Return seconds since the epoch as an ISO 8601 time in UTC."""
+    utc_time = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
+    return utc_time.isoformat(timespec='seconds').replace('+00:00', 'Z')
--- a/fulmarseam/commands/_ctl_snapshots.py
+++ b/fulmarseam/commands/_ctl_snapshots.py
@@ -1,4 +1,4 @@
-"""Export and restore of all tables by the operator's tool."""
+"""Commands of the operator's tool that export and restore all tables."""
 
 import pathlib
 
@@ -14,23 +14,25 @@
     client: _ctl_client.AdminClient, path: str
 ) -> wire.Export:
     """Write all rows to a file and return them."""
-    found = _ctl_edits.expect(
+    response = _ctl_edits.check_response_type(
         await client.call(wire.TablesRequest()), wire.TablesResponse
     )
     export = wire.Export(
-        revision=found.revision, changes=found.changes, blocks=found.blocks
+        revision=response.revision,
+        changes=response.changes,
+        blocks=response.blocks,
     )
     _write_export(path, export)
     return export
 
 
 def _write_export(path: str, export: wire.Export) -> None:
-    """Write the file as a whole or not at all."""
-    target = pathlib.Path(path)
-    partial = target.with_name(target.name + '.partial')
+    """Write the file atomically."""
+    destination = pathlib.Path(path)
+    partial = destination.with_name(destination.name + '.partial')
     try:
         partial.write_bytes(msgspec.json.encode(export))
-        partial.replace(target)
+        partial.replace(destination)
     except OSError as error:
         raise errors.UsageError(
             f'{path}: cannot be written: {error.strerror}'
@@ -47,17 +49,17 @@
         ) from error
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise errors.UsageError(
-            f'{path}: is no exported snapshot: {error}'
+            f'{path}: is not an exported snapshot: {error}'
         ) from error
 
 
 async def restore_tables(
     client: _ctl_client.AdminClient, path: str, options: _ctl_edits.EditOptions
 ) -> None:
-    """Bring exported rows back as a new edit."""
+    """Restore exported rows as a new edit."""
     export = _read_export(path)
-    edit_id = _ctl_edits.announce_edit_id(options)
+    edit_id = _ctl_edits.print_edit_id(options)
     result = await _ctl_edits.send_edit(
         client, wire.Restore(edit_id=edit_id, export=export)
     )
-    await _ctl_edits.finish(client, options, edit_id, result.revision, [])
+    await _ctl_edits.report_edit(client, options, edit_id, result.revision, [])
--- a/fulmarseam/commands/_ctl_tables.py
+++ b/fulmarseam/commands/_ctl_tables.py
@@ -1,4 +1,4 @@
-"""Files of tables: reading, and the difference to the tables in force."""
+"""Reads files of tables and compares them with the current tables."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -16,17 +16,17 @@
 from fulmarseam import wire
 
 TIME_FIELDS = frozenset({'start', 'end'})
-Rows = dict[wire.TableName, dict[str, wire.Row]]
+TableRows = dict[wire.TableName, dict[str, wire.Row]]
 
 
-def read_tables(path: str) -> Rows:
+def read_tables(path: str) -> TableRows:
     """Return the rows of a YAML file of tables.
 
-    Raises `errors.FulmarseamError` with one line for each problem.
+    Raises `errors.FulmarseamError` with a line for each problem.
     """
     try:
         content = pathlib.Path(path).read_text(encoding='utf-8')
-        found = yaml.load(content, Loader=_Loader)
+        document = yaml.load(content, Loader=_UniqueKeyLoader)
     except OSError as error:
         raise errors.UsageError(
             f'{path}: cannot be read: {error.strerror}'
@@ -37,7 +37,7 @@
             f'{path}: is not valid YAML: {summary}'
         ) from error
     problems: list[str] = []
-    tables = _convert_tables(found, problems)
+    tables = _convert_tables(document, problems)
     if problems:
         raise errors.FulmarseamError(
             errors.ErrorKind.INVALID_EDIT,
@@ -46,19 +46,29 @@
     return tables
 
 
-def _convert_tables(found: Any, problems: list[str]) -> Rows:
-    known = ', '.join(sorted(table.value for table in store.EDITABLE_TABLES))
-    if not isinstance(found, Mapping):
-        problems.append(f'found no mapping, expected tables: {known}')
+def _convert_tables(document: Any, problems: list[str]) -> TableRows:
+    known_tables = ', '.join(
+        sorted(table.value for table in store.EDITABLE_TABLES)
+    )
+    if not isinstance(document, Mapping):
+        problems.append(
+            f'found no mapping, expected a mapping of tables: {known_tables}'
+        )
         return {}
-    tables: Rows = {}
-    for name, rows in found.items():
+    tables: TableRows = {}
+    for name, rows in document.items():
         table = next(
-            (item for item in store.EDITABLE_TABLES if item.value == name),
+            (
+                candidate
+                for candidate in store.EDITABLE_TABLES
+                if candidate.value == name
+            ),
             None,
         )
         if table is None:
-            problems.append(f'{name}: found no such table, expected {known}')
+            problems.append(
+                f'{name}: found no such table, expected {known_tables}'
+            )
         elif not isinstance(rows, Mapping):
             problems.append(
                 f'{name}: found {rows!r}, expected a mapping of names to rows'
@@ -82,7 +92,8 @@
 def convert_row(table: wire.TableName, name: str, fields: Any) -> wire.Row:
     """Return the row that a mapping of fields describes.
 
-    Raises `ValueError` when a field is wrong or unknown.
+    Raises `ValueError` or `msgspec.ValidationError` for an unknown field or
+    an invalid value.
     """
     if table is wire.TableName.BLOCKS and isinstance(fields, str):
         fields = {'region': fields}
@@ -91,7 +102,7 @@
     if not isinstance(fields, Mapping):
         raise ValueError(f'found {fields!r}, expected a mapping of fields')
     row_type = store.ROW_TYPES[table]
-    complete = _complete_fields(table, name, fields)
+    complete_fields = _complete_fields(table, name, fields)
     allowed = set(row_type.__struct_fields__) - {'name'}
     for field in fields:
         if field not in allowed:
@@ -99,30 +110,30 @@
                 f'{field}: found no such field, expected '
                 + ', '.join(sorted(allowed))
             )
-    return msgspec.convert(complete, row_type)
+    return msgspec.convert(complete_fields, row_type)
 
 
 def _complete_fields(
     table: wire.TableName, name: str, fields: Mapping[str, Any]
 ) -> dict[str, Any]:
-    complete = {
+    complete_fields = {
         key: parse_time(value) if key in TIME_FIELDS else value
         for key, value in fields.items()
     }
-    complete['name'] = name
-    complete['type'] = store.ROW_TYPES[table].__struct_config__.tag
+    complete_fields['name'] = name
+    complete_fields['type'] = store.ROW_TYPES[table].__struct_config__.tag
     if table is wire.TableName.LINKS:
         from_region, _, to_region = name.partition('>')
-        complete.setdefault('from_region', from_region)
-        complete.setdefault('to_region', to_region)
-    return complete
+        complete_fields.setdefault('from_region', from_region)
+        complete_fields.setdefault('to_region', to_region)
+    return complete_fields
 
 
 def parse_time(value: Any, now: float | None = None) -> float:
-    """Return seconds since the epoch.
+    """Return a time as seconds since the epoch.
 
-    Accepts a number, an ISO time with its offset, and with `now` also
-    "now" and "+SECONDS". Raises `ValueError` for anything else.
+    Accepts a number or an ISO time with a UTC offset, and if `now` is given
+    also "now" and "+SECONDS". Raises `ValueError` for anything else.
     """
     expected = 'a time such as 2027-01-31T02:00:00Z'
     if isinstance(value, (int, float)) and not isinstance(value, bool):
@@ -150,8 +161,8 @@
         raise ValueError(f'found {value!r}, expected {expected}') from None
 
 
-def digest_rows(rows: Rows) -> str:
-    """Return a digest of the rows wanted, to tell files apart."""
+def digest_rows(rows: TableRows) -> str:
+    """Return a digest of rows that tells files of tables apart."""
     content = msgspec.json.encode(
         [
             wire.Change(table, key, row)
@@ -163,31 +174,35 @@
 
 
 def find_changes(
-    wanted: Rows, current: Iterable[wire.Change]
+    desired: TableRows, current: Iterable[wire.Change]
 ) -> list[wire.Change]:
-    """Return the changes that make the tables named equal to the file.
+    """Return the changes that make the current tables equal to a file.
 
-    The state of a drain or shift that the file does not cancel is left as
-    it is, since the control leader owns it.
+    Tables that the file lacks are left as they are. So is the state of a
+    drain or shift that the file does not cancel, since the control leader
+    owns it.
     """
-    present: Rows = {table: {} for table in wanted}
+    current_rows: TableRows = {table: {} for table in desired}
     for change in current:
-        if change.table in present and change.row is not None:
-            present[change.table][change.key] = change.row
+        if change.table in current_rows and change.row is not None:
+            current_rows[change.table][change.key] = change.row
     changes: list[wire.Change] = []
-    for table, rows in wanted.items():
+    for table, rows in desired.items():
         for key, row in rows.items():
-            found = present[table].get(key)
-            if found is None or keep_state(row, found) != found:
+            current_row = current_rows[table].get(key)
+            if (
+                current_row is None
+                or keep_current_state(row, current_row) != current_row
+            ):
                 changes.append(wire.Change(table, key, row))
-        for key in present[table]:
+        for key in current_rows[table]:
             if key not in rows:
                 changes.append(wire.Change(table, key, None))
     return changes
 
 
-def keep_state(row: wire.Row, current: wire.Row) -> wire.Row:
-    """Return a row with the state in force unless it cancels."""
+def keep_current_state(row: wire.Row, current: wire.Row) -> wire.Row:
+    """Return a row with the current state unless the row is cancelled."""
     if isinstance(row, wire.Drain) and isinstance(current, wire.Drain):
         if row.state is not wire.DrainState.CANCELLED:
             return msgspec.structs.replace(row, state=current.state)
@@ -204,25 +219,27 @@
     changes: Iterable[wire.Change], current: Iterable[wire.Change]
 ) -> list[str]:
     """Return one line for each row added, removed or changed."""
-    present = {(change.table, change.key): change.row for change in current}
+    current_rows = {
+        (change.table, change.key): change.row for change in current
+    }
     return [
-        _describe_change(change, present.get((change.table, change.key)))
+        _describe_change(change, current_rows.get((change.table, change.key)))
         for change in changes
     ]
 
 
-def _describe_change(change: wire.Change, found: wire.Row | None) -> str:
+def _describe_change(change: wire.Change, current: wire.Row | None) -> str:
     name = f'{change.table.value}.{change.key}'
     if change.row is None:
         return f'- {name}'
-    if found is None:
+    if current is None:
         return f'+ {name}: {_describe_fields(change.row)}'
-    wanted = keep_state(change.row, found)
+    desired = keep_current_state(change.row, current)
     fields = ', '.join(
-        f'{field}: {_plain(getattr(found, field))} -> '
-        f'{_plain(getattr(wanted, field))}'
-        for field in wanted.__struct_fields__
-        if getattr(wanted, field) != getattr(found, field)
+        f'{field}: {_to_builtins(getattr(current, field))} -> '
+        f'{_to_builtins(getattr(desired, field))}'
+        for field in desired.__struct_fields__
+        if getattr(desired, field) != getattr(current, field)
     )
     return f'~ {name}: {fields}'
 
@@ -230,19 +247,19 @@
 def _describe_fields(row: wire.Row) -> str:
     """Return the fields of a row that differ from their defaults."""
     return ', '.join(
-        f'{info.name}={_plain(getattr(row, info.name))}'
+        f'{info.name}={_to_builtins(getattr(row, info.name))}'
         for info in msgspec.structs.fields(type(row))
         if info.name != 'name'
         and getattr(row, info.name) not in (info.default, [])
     )
 
 
-def _plain(value: Any) -> Any:
+def _to_builtins(value: Any) -> Any:
     return msgspec.to_builtins(value)
 
 
-class _Loader(yaml.SafeLoader):
-    """A YAML loader that refuses a key that is given twice."""
+class _UniqueKeyLoader(yaml.SafeLoader):
+    """A YAML loader that rejects duplicate keys."""
 
     def construct_mapping(
         self, node: yaml.MappingNode, deep: bool = False
--- a/fulmarseam/commands/_ctl_views.py
+++ b/fulmarseam/commands/_ctl_views.py
@@ -1,4 +1,4 @@
-"""Commands of the operator's tool that show state."""
+"""Commands of the operator's tool that show the state of the system."""
 
 import asyncio
 from collections.abc import Iterable
@@ -16,11 +16,11 @@
     client: _ctl_client.AdminClient, table: wire.TableName
 ) -> Records:
     """Return the rows of one table."""
-    found = await _ctl_edits.fetch_tables(client, table)
-    return [_show_row(change) for change in found.changes]
+    response = await _ctl_edits.fetch_tables(client, table)
+    return [_make_row_record(change) for change in response.changes]
 
 
-def _show_row(change: wire.Change) -> _ctl_output.Record:
+def _make_row_record(change: wire.Change) -> _ctl_output.Record:
     if change.row is None:
         return {'name': change.key}
     record = _ctl_output.to_record(change.row)
@@ -34,24 +34,24 @@
 async def _fetch_fleet(
     client: _ctl_client.AdminClient,
 ) -> wire.FleetResponse:
-    return _ctl_edits.expect(
+    return _ctl_edits.check_response_type(
         await client.call(wire.FleetRequest()), wire.FleetResponse
     )
 
 
 async def list_drains(client: _ctl_client.AdminClient) -> Records:
-    """Return the drains with the requests still in flight on each."""
+    """Return the drains and the number of requests in flight on each."""
     records = await list_rows(client, wire.TableName.DRAINS)
     fleet = await _fetch_fleet(client)
     for record in records:
-        record['in_flight'] = _count_drained(record, fleet)
+        record['in_flight'] = _count_in_flight(record, fleet)
     return records
 
 
-def _count_drained(
+def _count_in_flight(
     drain: _ctl_output.Record, fleet: wire.FleetResponse
 ) -> int:
-    """Return the requests in flight on what a drain empties."""
+    """Return the number of requests in flight on the subject of a drain."""
     scope: str = drain['scope']
     subject: str = drain['subject']
     if scope == wire.DrainScope.ENTRY.value:
@@ -69,17 +69,20 @@
 
 
 async def list_members(client: _ctl_client.AdminClient) -> Records:
-    """Return the members of the control group as one of them sees it."""
-    answers = await client.call_each(wire.StatusRequest())
-    known = [
-        answer
-        for answer in answers.values()
-        if isinstance(answer, wire.StatusResponse)
+    """Return the members of the control group as its leader reports them.
+
+    Without a leader, they are taken from the most recent member.
+    """
+    responses = await client.call_all_members(wire.StatusRequest())
+    statuses = [
+        response
+        for response in responses.values()
+        if isinstance(response, wire.StatusResponse)
     ]
-    if not known:
-        raise _no_answer(answers.items())
+    if not statuses:
+        raise _make_unreachable_error(responses.items())
     newest = max(
-        known,
+        statuses,
         key=lambda status: (
             status.leadership_age_ms is not None,
             status.term,
@@ -104,10 +107,10 @@
 
 
 async def show_status(client: _ctl_client.AdminClient) -> Records:
-    """Return how each control member sees the group."""
-    answers = await client.call_each(wire.StatusRequest())
+    """Return the view of each control member on the group."""
+    responses = await client.call_all_members(wire.StatusRequest())
     records: Records = []
-    for member, answer in answers.items():
+    for member, response in responses.items():
         record: _ctl_output.Record = {
             'member': member,
             'state': 'unreachable',
@@ -117,32 +120,32 @@
             'applied': None,
             'leadership_age_ms': None,
         }
-        if isinstance(answer, wire.StatusResponse):
+        if isinstance(response, wire.StatusResponse):
             record.update(
-                member=answer.member,
+                member=response.member,
                 state=(
                     'leader'
-                    if answer.leadership_age_ms is not None
+                    if response.leadership_age_ms is not None
                     else 'follower'
                 ),
-                leader=answer.leader,
-                term=answer.term,
-                revision=answer.revision,
-                applied=answer.applied_index,
-                leadership_age_ms=answer.leadership_age_ms,
+                leader=response.leader,
+                term=response.term,
+                revision=response.revision,
+                applied=response.applied_index,
+                leadership_age_ms=response.leadership_age_ms,
             )
         records.append(record)
     if all(record['state'] == 'unreachable' for record in records):
-        raise _no_answer(answers.items())
+        raise _make_unreachable_error(responses.items())
     return records
 
 
-def _no_answer(
-    answers: Iterable[tuple[str, wire.Message | errors.FulmarseamError]],
+def _make_unreachable_error(
+    responses: Iterable[tuple[str, wire.Message | errors.FulmarseamError]],
 ) -> errors.FulmarseamError:
     details = '; '.join(
-        f'{member}: {getattr(answer, "detail", answer)}'
-        for member, answer in answers
+        f'{member}: {getattr(response, "detail", response)}'
+        for member, response in responses
     )
     return errors.FulmarseamError(
         errors.ErrorKind.UNAVAILABLE, f'no control member answered: {details}'
@@ -150,7 +153,7 @@
 
 
 async def list_targets(client: _ctl_client.AdminClient) -> Records:
-    """Return the targets that the leader knows."""
+    """Return the targets known to the control leader."""
     fleet = await _fetch_fleet(client)
     return [
         {
@@ -170,7 +173,7 @@
 
 
 async def list_entries(client: _ctl_client.AdminClient) -> Records:
-    """Return the entries that the leader knows."""
+    """Return the entries known to the control leader."""
     fleet = await _fetch_fleet(client)
     return [
         {
@@ -190,28 +193,30 @@
 
 
 async def list_quarantine(client: _ctl_client.AdminClient) -> Records:
-    """Return the fingerprints that the entries hold back.
+    """Return the suspect and quarantined fingerprints of all live entries.
 
-    An entry that does not answer is shown with its problem.
+    The record of an entry that does not respond holds its problem.
     """
     fleet = await _fetch_fleet(client)
     live = [entry.row.info for entry in fleet.entries if entry.row.alive]
 
-    async def ask(info: wire.EntryInfo) -> Records:
+    async def list_entry(info: wire.EntryInfo) -> Records:
         try:
-            answer = await client.call_address(
+            response = await client.call_address(
                 info.rpc, wire.QuarantineRequest()
             )
         except errors.FulmarseamError as error:
-            return [_make_record(info, problem=error.detail)]
-        found = _ctl_edits.expect(answer, wire.QuarantineResponse)
-        return [_make_record(info, row) for row in found.rows]
+            return [_make_quarantine_record(info, problem=error.detail)]
+        quarantine = _ctl_edits.check_response_type(
+            response, wire.QuarantineResponse
+        )
+        return [_make_quarantine_record(info, row) for row in quarantine.rows]
 
-    answers = await asyncio.gather(*(ask(info) for info in live))
-    return [record for records in answers for record in records]
+    responses = await asyncio.gather(*(list_entry(info) for info in live))
+    return [record for records in responses for record in records]
 
 
-def _make_record(
+def _make_quarantine_record(
     info: wire.EntryInfo,
     row: wire.QuarantineRow | None = None,
     problem: str | None = None,
@@ -219,14 +224,14 @@
     return {
         'entry': info.entry,
         'fingerprint': row.fingerprint if row else None,
-        'state': _name_state(row),
+        'state': _name_quarantine_state(row),
         'targets': list(row.targets) if row else [],
         'left_ms': row.left_ms if row else None,
         'problem': problem,
     }
 
 
-def _name_state(row: wire.QuarantineRow | None) -> str:
+def _name_quarantine_state(row: wire.QuarantineRow | None) -> str:
     if row is None:
         return 'unknown'
     return 'quarantined' if row.quarantined else 'suspect'
--- a/fulmarseam/commands/_ctl_waiting.py
+++ b/fulmarseam/commands/_ctl_waiting.py
@@ -1,4 +1,4 @@
-"""Waiting until a revision is in force on every entry."""
+"""Waits until a revision is in force on all entries."""
 
 import asyncio
 import sys
@@ -11,45 +11,46 @@
 POLL_S = 0.1
 
 
-async def wait_in_force(
-    client: _ctl_client.AdminClient, revision: int, end: float
+async def wait_until_in_force(
+    client: _ctl_client.AdminClient, revision: int, deadline: float
 ) -> None:
-    """Wait until every entry that takes work has a revision in force.
+    """Wait until a revision is in force on every live entry.
 
-    `end` is in monotonic seconds. An entry whose lease has ended takes no
-    work and is named but not waited for. Progress goes to standard error.
-    Raises `errors.FulmarseamError` naming the entries that lack the
-    revision.
+    `deadline` is in monotonic seconds. An entry whose lease has expired takes
+    no requests; it is listed but not waited for. Progress is printed to
+    standard error. Raises `errors.FulmarseamError` with the entries that
+    lack the revision at the deadline.
     """
-    shown = ''
+    printed_text = ''
     while True:
-        answer = await client.call(wire.FleetRequest())
-        if not isinstance(answer, wire.FleetResponse):
+        response = await client.call(wire.FleetRequest())
+        if not isinstance(response, wire.FleetResponse):
             raise errors.WireError(
-                f'found answer {type(answer).__name__}, expected FleetResponse'
+                f'found response {type(response).__name__}, '
+                'expected FleetResponse'
             )
-        live = [entry for entry in answer.entries if entry.row.alive]
+        live = [entry for entry in response.entries if entry.row.alive]
         pending = [entry for entry in live if entry.revision < revision]
-        text = _describe(answer, revision, len(live), pending)
-        if text != shown:
+        text = _describe_progress(response, revision, len(live), pending)
+        if text != printed_text:
             print(text, file=sys.stderr)
-            shown = text
-        if not pending and answer.revision >= revision:
+            printed_text = text
+        if not pending and response.revision >= revision:
             return
-        if time.monotonic() >= end:
+        if time.monotonic() >= deadline:
             raise errors.FulmarseamError(errors.ErrorKind.UNAVAILABLE, text)
         await asyncio.sleep(POLL_S)
 
 
-def _describe(
-    answer: wire.FleetResponse,
+def _describe_progress(
+    response: wire.FleetResponse,
     revision: int,
-    live: int,
+    live_count: int,
     pending: list[wire.EntryProgress],
 ) -> str:
     parts = [
-        f'revision {revision} in force on {live - len(pending)} of '
-        f'{live} entries'
+        f'revision {revision} in force on {live_count - len(pending)} of '
+        f'{live_count} entries'
     ]
     if pending:
         parts.append(
@@ -59,9 +60,13 @@
                 for entry in pending
             )
         )
-    silent = [
-        entry.row.info.entry for entry in answer.entries if not entry.row.alive
+    expired = [
+        entry.row.info.entry
+        for entry in response.entries
+        if not entry.row.alive
     ]
-    if silent:
-        parts.append('not heard and taking no work: ' + ', '.join(silent))
+    if expired:
+        parts.append(
+            'lease expired, taking no requests: ' + ', '.join(expired)
+        )
     return '; '.join(parts)
--- a/fulmarseam/commands/_launcher.py
+++ b/fulmarseam/commands/_launcher.py
@@ -1,4 +1,4 @@
-"""Shared start of all programs: flags, settings and exit codes."""
+"""Common startup of all programs: flags, settings and exit codes."""
 
 from collections.abc import Callable
 import sys
@@ -15,15 +15,15 @@
 SchemaT = TypeVar('SchemaT')
 
 _CONFIG = flags.DEFINE_string('config', None, 'The YAML settings file.')
-_CHECK = flags.DEFINE_bool('check', False, 'Check the settings file and stop.')
-_VERSION = flags.DEFINE_bool('version', False, 'Print the version and stop.')
+_CHECK = flags.DEFINE_bool('check', False, 'Check the settings file and exit.')
+_VERSION = flags.DEFINE_bool('version', False, 'Print the version and exit.')
 
 
 def launch(main: Callable[[list[str]], int]) -> None:
-    """Parse the flags, run `main` with the arguments left, and exit.
+    """Parse the flags, run `main` with the other arguments, and exit.
 
-    A `FulmarseamError` ends in one line per problem on standard error and
-    the exit code of its kind.
+    For a `FulmarseamError`, print one line per problem to standard error and
+    exit with the code of its kind.
     """
 
     def run(argv: list[str]) -> int:
@@ -40,7 +40,7 @@
 
 
 def _parse_flags(argv: list[str]) -> list[str]:
-    """Parse the flags; a wrong one ends in one line and an exit code."""
+    """Parse the flags; for an invalid one print a line and exit."""
     try:
         arguments: list[str] = flags.FLAGS(argv)
     except flags.Error as error:
@@ -50,7 +50,7 @@
     return arguments
 
 
-def config_path() -> str | None:
+def get_config_path() -> str | None:
     """Return the value of `--config`."""
     path: str | None = _CONFIG.value
     return path
@@ -59,7 +59,7 @@
 def launch_daemon(
     schema: type[SchemaT], serve: Callable[[SchemaT], Any]
 ) -> None:
-    """Load the settings that `--config` names and run `serve` with them."""
+    """Load the settings file of `--config` and run `serve` with it."""
 
     def main(arguments: list[str]) -> int:
         if arguments:
--- a/fulmarseam/commands/bench.py
+++ b/fulmarseam/commands/bench.py
@@ -19,12 +19,12 @@
     'How entries choose targets.',
 )
 _PLOT = flags.DEFINE_string(
-    'plot', None, 'A folder that plots are written to as PNG files.'
+    'plot', None, 'The directory for plots as PNG files.'
 )
 
 
 def run(arguments: list[str]) -> int:
-    """Run the scenario of the flags; return 1 if a promise was broken."""
+    """Run the chosen scenario; return 1 if a promise was broken, else 0."""
     if arguments:
         raise errors.UsageError(
             f'found argument {arguments[0]!r}, expected only flags'
--- a/fulmarseam/commands/control.py
+++ b/fulmarseam/commands/control.py
@@ -6,5 +6,5 @@
 
 
 def main() -> None:
-    """Run a control member with the settings of `--config`."""
+    """Run a control member with the settings file of `--config`."""
     _launcher.launch_daemon(settings.ControlSettings, control.serve)
--- a/fulmarseam/commands/ctl.py
+++ b/fulmarseam/commands/ctl.py
@@ -3,19 +3,19 @@
 Commands:
 
     show TABLE                 rows of a table
-    diff FILE                  what applying a file of tables would change
-    apply FILE                 make the tables that a file names equal to it
-    drain announce SCOPE NAME  empty a target, domain, region or entry
+    diff FILE                  show what applying FILE would change
+    apply FILE                 replace the rows of all tables in FILE
+    drain announce SCOPE NAME  drain a target, domain, region or entry
     drain cancel|list [DRAIN]
     shift announce POOL FROM TO CAP_PERCENT
     shift cancel|list [SHIFT]
     members list|add|remove [MEMBER [ADDRESS REGION]]
     targets list, entries list, quarantine list
-    status                     how each control member sees the group
-    wait REVISION              wait until a revision is in force everywhere
+    status                     view of each control member on the group
+    wait REVISION              wait until all entries have a revision in force
     snapshot export|restore FILE
-    explain REQUEST_ID LOG...  what the logs of all processes tell about a
-                               request; - reads standard input
+    explain REQUEST_ID LOG...  explain the outcome of a request from the logs
+                               of all processes; - reads standard input
 """
 
 import asyncio
@@ -43,26 +43,30 @@
     'control', [], 'Addresses of control members, in place of --config.'
 )
 _FORMAT = flags.DEFINE_enum(
-    'format', 'table', ['table', 'json', 'yaml'], 'The form of the output.'
+    'format', 'table', ['table', 'json', 'yaml'], 'The output format.'
 )
 _EDIT_ID = flags.DEFINE_string(
-    'edit_id', None, 'The id of an edit that is sent again.'
+    'edit_id', None, 'The id of an earlier edit, to send it again.'
 )
 _WAIT = flags.DEFINE_bool(
     'wait', False, 'Wait until the edit is in force on all entries.'
 )
 _WAIT_S = flags.DEFINE_float(
-    'wait_s', 30.0, 'How long to wait for it, in seconds.', 0.0, 3_600.0
+    'wait_s', 30.0, 'The longest time to wait, in seconds.', 0.0, 3_600.0
+)
+_NAME = flags.DEFINE_string(
+    'name', None, 'The name of the new drain or shift.'
 )
-_NAME = flags.DEFINE_string('name', None, 'The name of a drain or shift.')
 _START = flags.DEFINE_string(
     'start', 'now', 'The start: an ISO time with offset, "now" or "+SECONDS".'
 )
 _END = flags.DEFINE_string(
-    'end', None, 'The end of a shift: an ISO time or "+SECONDS" from now.'
+    'end',
+    None,
+    'The end of a shift: an ISO time or "+SECONDS" from now.',
 )
 _RAMP_S = flags.DEFINE_float(
-    'ramp_s', 60.0, 'The time in which a shift reaches its cap, in seconds.'
+    'ramp_s', 60.0, 'The time until a shift reaches its cap, in seconds.'
 )
 
 _EXPLAIN = 'explain'
@@ -73,7 +77,7 @@
 
 
 def main() -> None:
-    """Run one command."""
+    """Run the command that the arguments name."""
     flags.FLAGS.set_gnu_getopt(True)
     _launcher.launch(_run)
 
@@ -82,13 +86,13 @@
     if arguments[:1] == [_EXPLAIN]:
         _explain(arguments[1:])
         return 0
-    action, rest = _find_action(arguments)
-    asyncio.run(_call(action, rest, _load_options()))
+    action, command_arguments = _find_action(arguments)
+    asyncio.run(_run_action(action, command_arguments, _load_settings()))
     return 0
 
 
 def _explain(arguments: Arguments) -> None:
-    """Explain a request; this needs log files and no control member."""
+    """Explain a request from log files, without a control member."""
     if len(arguments) < 2:
         raise errors.UsageError(
             f'found {len(arguments)} arguments, expected: {_EXPLAIN} '
@@ -97,7 +101,7 @@
     print(_ctl_explain.explain(arguments[0], arguments[1:]))
 
 
-async def _call(
+async def _run_action(
     action: Action, arguments: Arguments, options: settings.CtlSettings
 ) -> None:
     async with _ctl_client.AdminClient(options) as client:
@@ -105,33 +109,39 @@
 
 
 def _find_action(arguments: Arguments) -> tuple[Action, Arguments]:
-    """Return the action of the longest command that the arguments name."""
+    """Return the action and arguments of the longest matching command."""
     for length in (2, 1):
         command = _COMMANDS.get(' '.join(arguments[:length]))
         if command is not None and len(arguments) >= length:
-            usage, count, action = command
-            rest = arguments[length:]
-            if len(rest) != count:
+            usage, argument_count, action = command
+            command_arguments = arguments[length:]
+            if len(command_arguments) != argument_count:
                 raise errors.UsageError(
-                    f'found {len(rest)} arguments, expected: {usage}'
+                    f'found {len(command_arguments)} arguments, '
+                    f'expected: {usage}'
                 )
-            return action, rest
+            return action, command_arguments
     found = ' '.join(arguments[:2]) or 'nothing'
-    known = ', '.join((*_COMMANDS, _EXPLAIN))
-    raise errors.UsageError(f'found {found}, expected a command: {known}')
+    known_commands = ', '.join((*_COMMANDS, _EXPLAIN))
+    raise errors.UsageError(
+        f'found {found}, expected a command: {known_commands}'
+    )
 
 
-def _load_options() -> settings.CtlSettings:
+def _load_settings() -> settings.CtlSettings:
     if _CONTROL.value:
-        check = settings.address()
+        check_address = settings.address()
         try:
-            addresses = [check('--control', item) for item in _CONTROL.value]
+            addresses = [
+                check_address('--control', address)
+                for address in _CONTROL.value
+            ]
         except settings.InvalidValueError as error:
             raise errors.UsageError(str(error)) from error
         return settings.CtlSettings(
             control={ids.MemberId(address): address for address in addresses}
         )
-    path = _launcher.config_path()
+    path = _launcher.get_config_path()
     if path is None:
         raise errors.UsageError(
             'found neither --config nor --control, expected one'
@@ -139,7 +149,7 @@
     return settings.load_settings(path, settings.CtlSettings)
 
 
-def _edit_options() -> _ctl_edits.EditOptions:
+def _get_edit_options() -> _ctl_edits.EditOptions:
     return _ctl_edits.EditOptions(
         edit_id=_EDIT_ID.value,
         wait_s=_WAIT_S.value if _WAIT.value else None,
@@ -162,7 +172,7 @@
         client: _ctl_client.AdminClient, arguments: Arguments
     ) -> None:
         await _ctl_edits.cancel_row(
-            client, _edit_options(), table, arguments[0]
+            client, _get_edit_options(), table, arguments[0]
         )
 
     return action
@@ -191,14 +201,14 @@
 async def _apply(
     client: _ctl_client.AdminClient, arguments: Arguments
 ) -> None:
-    await _ctl_edits.apply_file(client, arguments[0], _edit_options())
+    await _ctl_edits.apply_file(client, arguments[0], _get_edit_options())
 
 
 async def _announce_drain(
     client: _ctl_client.AdminClient, arguments: Arguments
 ) -> None:
     scope, subject = arguments
-    scopes = [item.value for item in wire.DrainScope]
+    scopes = [known_scope.value for known_scope in wire.DrainScope]
     if scope not in scopes:
         raise errors.UsageError(
             f'found scope {scope!r}, expected one of ' + ', '.join(scopes)
@@ -210,7 +220,7 @@
         start=_read_time('--start', _START.value),
     )
     content = f'drain {scope} {subject} {_START.value} {_NAME.value}'
-    await _ctl_edits.set_row(client, _edit_options(), row, content)
+    await _ctl_edits.add_row(client, _get_edit_options(), row, content)
 
 
 async def _announce_shift(
@@ -232,12 +242,14 @@
     content = ' '.join(
         ['shift', *arguments, _START.value, _END.value, str(_NAME.value)]
     )
-    await _ctl_edits.set_row(client, _edit_options(), row, content)
+    await _ctl_edits.add_row(client, _get_edit_options(), row, content)
 
 
 def _make_name(*parts: str) -> str:
-    moment = _ctl_output.format_time(_read_time('--start', _START.value))
-    digits = ''.join(character for character in moment if character.isalnum())
+    start_time = _ctl_output.format_time(_read_time('--start', _START.value))
+    digits = ''.join(
+        character for character in start_time if character.isalnum()
+    )
     return '-'.join([*parts, digits.lower()])
 
 
@@ -287,8 +299,8 @@
         raise errors.UsageError(
             f'REVISION: found {arguments[0]!r}, expected a whole number'
         )
-    end = time.monotonic() + _WAIT_S.value
-    await _ctl_waiting.wait_in_force(client, int(arguments[0]), end)
+    deadline = time.monotonic() + _WAIT_S.value
+    await _ctl_waiting.wait_until_in_force(client, int(arguments[0]), deadline)
 
 
 async def _export(
@@ -304,7 +316,9 @@
 async def _restore(
     client: _ctl_client.AdminClient, arguments: Arguments
 ) -> None:
-    await _ctl_snapshots.restore_tables(client, arguments[0], _edit_options())
+    await _ctl_snapshots.restore_tables(
+        client, arguments[0], _get_edit_options()
+    )
 
 
 async def _list_shifts(
--- a/fulmarseam/commands/entry.py
+++ b/fulmarseam/commands/entry.py
@@ -8,9 +8,9 @@
 from fulmarseam import telemetry
 from fulmarseam.commands import _launcher
 
-# Objects made between two young collections. The default of 700 runs a
-# collection every few requests; one that hits the oldest generation stops
-# all requests for milliseconds.
+# Allocations between two collections of the youngest generation. With the
+# default of 700 a collection runs every few requests; those of the oldest
+# generation block all requests for milliseconds.
 GC_THRESHOLD = 50_000
 
 
--- a/fulmarseam/commands/load.py
+++ b/fulmarseam/commands/load.py
@@ -9,7 +9,7 @@
 
 
 def serve(options: settings.LoadSettings) -> None:
-    """Run the load and print one line for each route."""
+    """Send the load and print a summary line for each route."""
     with telemetry.open_log(options.log_file, options.log_level):
         for summary in asyncio.run(standin.run_load(options)):
             print(summary.format())
--- a/fulmarseam/commands/target.py
+++ b/fulmarseam/commands/target.py
@@ -9,7 +9,7 @@
 
 
 def serve(options: settings.TargetSettings) -> None:
-    """Run until told to stop."""
+    """Run a target until it is told to stop."""
     with telemetry.open_log(options.log_file, options.log_level):
         asyncio.run(standin.run_target(options))
 
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -172,7 +172,7 @@
                 '--end: found nothing',
             ),
             (['members', 'add', 'c9', 'localhost:1', 'r9'], 'ADDRESS: found'),
-            (['snapshot', 'restore', broken], 'is no exported snapshot'),
+            (['snapshot', 'restore', broken], 'is not an exported snapshot'),
         ]
         with futures.ThreadPoolExecutor(PARALLEL_RUNS) as executor:
             runs = list(
