--- a/fulmarseam/commands/__main__.py
+++ b/fulmarseam/commands/__main__.py
@@ -21,37 +21,30 @@
 
 
 def run_control() -> None:
-    """Run `fulmarseam-control`."""
     run_program('control')
 
 
 def run_entry() -> None:
-    """Run `fulmarseam-entry`."""
     run_program('entry')
 
 
 def run_ctl() -> None:
-    """Run `fulmarseam-ctl`."""
     run_program('ctl')
 
 
 def run_target() -> None:
-    """Run `fulmarseam-target`."""
     run_program('target')
 
 
 def run_load() -> None:
-    """Run `fulmarseam-load`."""
     run_program('load')
 
 
 def run_faultproxy() -> None:
-    """Run `fulmarseam-faultproxy`."""
     run_program('faultproxy')
 
 
 def run_bench() -> None:
-    """Run `fulmarseam-bench`."""
     run_program('bench')
 
 
--- a/fulmarseam/commands/_ctl_explain.py
+++ b/fulmarseam/commands/_ctl_explain.py
@@ -80,7 +80,6 @@
 
     @property
     def name(self) -> str:
-        """Return the name of the event."""
         return self.fields.get('event', '')
 
 
--- a/fulmarseam/commands/_ctl_views.py
+++ b/fulmarseam/commands/_ctl_views.py
@@ -1,4 +1,4 @@
-"""Commands of the operator's tool that show the state of the system."""
+"""Commands of the operator's tool that show state."""
 
 import asyncio
 from collections.abc import Iterable
@@ -69,10 +69,7 @@
 
 
 async def list_members(client: _ctl_client.AdminClient) -> Records:
-    """Return the members of the control group as its leader reports them.
-
-    Without a leader, they are taken from the most recent member.
-    """
+    """Return the group members as the leader or newest member reports."""
     responses = await client.call_all_members(wire.StatusRequest())
     statuses = [
         response
--- a/fulmarseam/commands/_launcher.py
+++ b/fulmarseam/commands/_launcher.py
@@ -51,7 +51,6 @@
 
 
 def get_config_path() -> str | None:
-    """Return the value of `--config`."""
     path: str | None = _CONFIG.value
     return path
 
--- a/fulmarseam/commands/bench.py
+++ b/fulmarseam/commands/bench.py
@@ -38,5 +38,4 @@
 
 
 def main() -> None:
-    """Run the program."""
     _launcher.launch(run)
--- a/fulmarseam/commands/entry.py
+++ b/fulmarseam/commands/entry.py
@@ -29,5 +29,4 @@
 
 
 def main() -> None:
-    """Run the program."""
     _launcher.launch_daemon(settings.EntrySettings, serve)
--- a/fulmarseam/commands/faultproxy.py
+++ b/fulmarseam/commands/faultproxy.py
@@ -15,5 +15,4 @@
 
 
 def main() -> None:
-    """Run the program."""
     _launcher.launch_daemon(settings.FaultProxySettings, serve)
--- a/fulmarseam/commands/load.py
+++ b/fulmarseam/commands/load.py
@@ -16,5 +16,4 @@
 
 
 def main() -> None:
-    """Run the program."""
     _launcher.launch_daemon(settings.LoadSettings, serve)
--- a/fulmarseam/commands/target.py
+++ b/fulmarseam/commands/target.py
@@ -15,5 +15,4 @@
 
 
 def main() -> None:
-    """Run the program."""
     _launcher.launch_daemon(settings.TargetSettings, serve)
--- a/fulmarseam/standin/_direct.py
+++ b/fulmarseam/standin/_direct.py
@@ -27,7 +27,6 @@
         self._counts: dict[str, int] = {}
 
     def get(self, address: str) -> int:
-        """Return the number of requests in flight to an address."""
         return self._counts.get(address, 0)
 
     def add(self, address: str, amount: int) -> None:
--- a/fulmarseam/standin/_journal.py
+++ b/fulmarseam/standin/_journal.py
@@ -121,7 +121,6 @@
             os.write(self._file, msgspec.json.encode(record) + b'\n')
 
     def close(self) -> None:
-        """Close the file."""
         if self._file is not None:
             os.close(self._file)
             self._file = None
--- a/fulmarseam/standin/_pipe.py
+++ b/fulmarseam/standin/_pipe.py
@@ -6,16 +6,12 @@
 from typing import NamedTuple
 
 READ_BYTES = 65_536
-# Limit of the queue of one pipe. Beyond it the proxy stops reading, so that
-# the sender sees back-pressure as from a full socket buffer.
+# Beyond this the proxy stops reading, which acts like a full socket buffer.
 MAX_QUEUED_BYTES = 1 << 20
 
 
 class DirectionState:
-    """Delay, rate limit and hold of one direction of a link.
-
-    All connections of the link share it.
-    """
+    """Delay, rate limit and hold of a link direction, for all connections."""
 
     def __init__(self, delay_s: float, bytes_per_s: int) -> None:
         self.delay_s = delay_s
--- a/fulmarseam/standin/_reports.py
+++ b/fulmarseam/standin/_reports.py
@@ -29,7 +29,6 @@
         self._stuck_load: wire.TargetLoad | None = None
 
     def set_mode(self, mode: str) -> None:
-        """Switch to another mode."""
         self._mode = mode
         self._stuck_load = None
 
--- a/fulmarseam/standin/_server.py
+++ b/fulmarseam/standin/_server.py
@@ -52,7 +52,6 @@
 
     @property
     def open_connections(self) -> int:
-        """Return the number of open connections."""
         return len(self._tasks)
 
     async def __aenter__(self) -> Self:
--- a/fulmarseam/standin/_worker.py
+++ b/fulmarseam/standin/_worker.py
@@ -78,7 +78,6 @@
     """Runs jobs in a fixed number of slots and records their events.
 
     Jobs without a free slot are queued up to `queue_limit`; others are shed.
-    `admitted` counts the queued and running jobs.
     """
 
     def __init__(
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -36,7 +36,7 @@
 
 
 class CtlTest(unittest.TestCase):
-    """Guards against edits that are lost, doubled or badly reported.
+    """Guards against edits that are lost, applied twice or misreported.
 
     The tests share one control process, so each uses its own rows.
     """
@@ -149,7 +149,7 @@
             'links.ost>west.bytes_per_s: found 0',
         )
 
-    def test_mistakes_end_in_one_line(self) -> None:
+    def test_invalid_arguments_are_reported_in_one_line(self) -> None:
         twice = self.group.write('twice.yaml', 'pools: {a: {}, a: {}}\n')
         broken = self.group.write('broken.yaml', 'pools: {\n')
         cases = [
@@ -261,7 +261,7 @@
         )
 
     async def list_quarantine(self) -> Any:
-        """Return what ctl lists of an entry with two strikes."""
+        """Return the quarantine that ctl lists for an entry."""
         suspects = _suspects.Suspects()
         for target in ('t1', 't2'):
             suspects.strike('f', ids.TargetId(target))
@@ -289,12 +289,12 @@
     async def renew(
         self, client: transport.RpcClient, info: wire.EntryInfo
     ) -> None:
-        """Keep the lease of an entry while ctl starts on a busy host."""
+        """Renew the lease of an entry while ctl starts on a busy host."""
         while True:
             await asyncio.sleep(0.5)
             await client.call(fixtures.make_request(info, wait_ms=0), 5.0)
 
-    def test_wait_ends_with_an_error_for_a_revision_of_the_future(
+    def test_wait_for_a_future_revision_ends_with_an_error(
         self,
     ) -> None:
         done = self.group.ctl('wait', '1000000', '--wait_s=0.3')
@@ -303,7 +303,7 @@
 
 
 class OutputTest(unittest.TestCase):
-    """Guards against output that cannot be read or parsed."""
+    """Guards against unreadable output and misread files of tables."""
 
     def test_table_is_aligned(self) -> None:
         text = _ctl_output.render(
@@ -330,13 +330,13 @@
             with self.subTest(value=value), self.assertRaises(ValueError):
                 _ctl_tables.parse_time(value)
 
-    def test_file_keeps_the_state_of_a_running_shift(self) -> None:
+    def test_file_keeps_the_state_of_an_active_drain(self) -> None:
         row = _ctl_tables.convert_row(
             wire.TableName.DRAINS,
             'd',
             {'scope': 'region', 'subject': 'ost', 'start': 1},
         )
-        active = _ctl_tables.convert_row(
+        active_row = _ctl_tables.convert_row(
             wire.TableName.DRAINS,
             'd',
             {
@@ -350,7 +350,7 @@
         self.assertEqual(
             [],
             _ctl_tables.find_changes(
-                {table: {'d': row}}, [wire.Change(table, 'd', active)]
+                {table: {'d': row}}, [wire.Change(table, 'd', active_row)]
             ),
         )
 
--- a/tests/test_ctl_explain.py
+++ b/tests/test_ctl_explain.py
@@ -12,54 +12,57 @@
 from fulmarseam import telemetry
 from fulmarseam.commands import _ctl_explain
 
-DAY = '2026-03-26T11:25:'
-EDGE = '\n'.join(
+TIME = '2026-03-26T11:25:'
+ENTRY_LOG = '\n'.join(
     (
-        f'time={DAY}00.100000Z level=INFO logger=gateway event=started '
+        f'time={TIME}00.100000Z level=INFO logger=gateway event=started '
         'host=edge-1',
-        f'time={DAY}05.200000Z level=INFO logger=gateway '
+        f'time={TIME}05.200000Z level=INFO logger=gateway '
         'event=target_ejected target=t-1 address=10.1.0.1:80 failures=1',
-        f'time={DAY}05.300000Z level=INFO logger=gateway '
+        f'time={TIME}05.300000Z level=INFO logger=gateway '
         'event=target_ejected target=t-9 address=10.1.0.9:80 failures=1',
         'Traceback (most recent call last):',
-        f'time={DAY}05.900000Z level=INFO logger=request '
+        f'time={TIME}05.900000Z level=INFO logger=request '
         'event=request_ended id=q1 outcome=target_failed route=r pool=p '
         'object=2 targets=t-1:target_failed,t-2:target_failed status=0 '
         'elapsed_s=0.981 time_left_s=0.705 revision=41 '
         'detail="answered \\"500\\""',
     )
 )
-CORE = '\n'.join(
+CONTROL_LOG = '\n'.join(
     (
-        f'time={DAY}04.000000Z level=INFO logger=control event=target_state '
+        f'time={TIME}04.000000Z level=INFO logger=control event=target_state '
         'target=t-2 phase=draining',
-        f'time={DAY}05.000000Z level=INFO logger=control '
+        f'time={TIME}05.000000Z level=INFO logger=control '
         'event=targets_dropped targets=t-1,t-7',
-        f'time={DAY}05.100000Z level=INFO logger=control event=target_state '
+        f'time={TIME}05.100000Z level=INFO logger=control event=target_state '
         'target=t-8 phase=ready',
-        f'time={DAY}40.000000Z level=INFO logger=control '
+        f'time={TIME}40.000000Z level=INFO logger=control '
         'event=leadership_ended member=core-1 term=2',
     )
 )
 
 
 class ExplainTest(unittest.TestCase):
-    """Guards against causes that are in the logs and not shown."""
+    """Guards against an explanation that lacks related log lines."""
 
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         self.paths = []
-        for name, text in (('edge-1.log', EDGE), ('core-1.log', CORE)):
+        for name, text in (
+            ('edge-1.log', ENTRY_LOG),
+            ('core-1.log', CONTROL_LOG),
+        ):
             path = pathlib.Path(directory.name) / name
             path.write_text(text, encoding='utf-8')
             self.paths.append(str(path))
 
     def explain(self) -> list[str]:
-        """Return the lines about the one request."""
+        """Return the lines of the explanation of request q1."""
         return _ctl_explain.explain('q1', self.paths).splitlines()
 
-    def test_the_outcome_and_each_attempt_are_told(self) -> None:
+    def test_the_outcome_and_each_attempt_are_shown(self) -> None:
         lines = self.explain()
         self.assertIn('target_failed', lines[0])
         self.assertIn('may have run', lines[1])
@@ -67,7 +70,7 @@
         self.assertIn('attempt 1: t-1: target_failed', lines[3])
         self.assertIn('attempt 2: t-2: target_failed', lines[4])
 
-    def test_only_what_concerns_the_request_follows_in_order(self) -> None:
+    def test_only_related_events_follow_in_order(self) -> None:
         found = [
             (line.split()[0], line.split('event=')[1].split()[0])
             for line in self.explain()[5:]
@@ -82,13 +85,13 @@
             found,
         )
 
-    def test_an_id_without_a_line_is_an_error(self) -> None:
+    def test_an_unknown_request_id_is_an_error(self) -> None:
         with self.assertRaises(errors.FulmarseamError) as caught:
             _ctl_explain.explain('q2', self.paths)
         self.assertIs(errors.ErrorKind.NOT_FOUND, caught.exception.kind)
         self.assertIn('requests_omitted', caught.exception.detail)
 
-    def test_a_file_that_is_not_there_is_named(self) -> None:
+    def test_a_missing_file_is_named(self) -> None:
         with self.assertRaises(errors.UsageError) as caught:
             _ctl_explain.explain('q1', ['/nowhere/edge.log'])
         self.assertIn('/nowhere/edge.log', caught.exception.detail)
@@ -104,7 +107,7 @@
                 'q1',
                 '-',
             ],
-            input=EDGE,
+            input=ENTRY_LOG,
             capture_output=True,
             text=True,
             timeout=30.0,
@@ -115,13 +118,13 @@
 
 
 class QuotingTest(unittest.TestCase):
-    """Guards against values that are read otherwise than written."""
+    """Guards against log values that change when written and read back."""
 
     def test_values_are_read_as_they_were_written(self) -> None:
         for text in ('plain', '', 'two words', 'a"b', 'a\\nb', 'a\nb', '\\'):
             with self.subTest(text=text):
                 line = telemetry.format_event('x', value=text)
-                line = f'time={DAY}00.000000Z {line}'
+                line = f'time={TIME}00.000000Z {line}'
                 with contextlib.closing(io.StringIO(line)) as lines:
                     (event,) = _ctl_explain.read_events('log', lines)
                 self.assertEqual(text, event.fields['value'])
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -16,7 +16,7 @@
 
 
 def make_options(**changes: object) -> settings.LoadSettings:
-    """Return settings of a short load."""
+    """Return settings of a load of 0.5 s."""
     values: dict[str, object] = {
         'direct': [_loopback.find_free_address()],
         'region': 'ost',
@@ -41,38 +41,44 @@
         ]
         options = make_options(phases=phases)
         arrivals = list(standin.schedule_arrivals(options, random.Random(1)))
-        early = [item for item in arrivals if item.offset_s < 10]
-        self.assertAlmostEqual(10_000, len(early), delta=400)
-        self.assertAlmostEqual(1_000, len(arrivals) - len(early), delta=130)
-        counts = collections.Counter(item.route.name for item in arrivals)
+        first_phase = [
+            arrival for arrival in arrivals if arrival.offset_s < 10
+        ]
+        self.assertAlmostEqual(10_000, len(first_phase), delta=400)
+        self.assertAlmostEqual(
+            1_000, len(arrivals) - len(first_phase), delta=130
+        )
+        counts = collections.Counter(
+            arrival.route.name for arrival in arrivals
+        )
         self.assertAlmostEqual(3, counts['list'] / counts['edit'], delta=0.2)
-        offsets = [item.offset_s for item in arrivals]
+        offsets = [arrival.offset_s for arrival in arrivals]
         self.assertEqual(sorted(offsets), offsets)
 
 
 class LoadTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against a load that waits for answers or loses calls."""
+    """Guards against arrivals that wait for responses, and lost records."""
 
-    async def test_slow_answers_do_not_slow_arrivals(self) -> None:
-        present, most = 0, 0
+    async def test_slow_responses_do_not_delay_arrivals(self) -> None:
+        in_flight, peak = 0, 0
 
         async def handle(
             request: _server.ServerRequest,
         ) -> _server.ServerResponse:
-            nonlocal present, most
-            present += 1
-            most = max(most, present)
+            nonlocal in_flight, peak
+            in_flight += 1
+            peak = max(peak, in_flight)
             await asyncio.sleep(0.4)
-            present -= 1
+            in_flight -= 1
             return _server.ServerResponse(200, {})
 
-        with tempfile.TemporaryDirectory() as folder:
-            journal = str(pathlib.Path(folder) / 'calls')
+        with tempfile.TemporaryDirectory() as directory:
+            journal = str(pathlib.Path(directory) / 'calls')
             options = make_options(journal=journal)
             async with _server.Server(options.direct[0], handle):
                 summaries = await standin.run_load(options)
             calls = list(standin.read_journal(journal, standin.CallRecord))
-        self.assertGreater(most, 40)
+        self.assertGreater(peak, 40)
         good = sum(summary.good for summary in summaries)
         self.assertEqual(len(calls), good)
         self.assertGreater(good, 70)
@@ -90,8 +96,8 @@
         self.assertEqual(0, sum(summary.good for summary in summaries))
 
 
-class ChoiceTest(unittest.TestCase):
-    """Guards against baselines that are not what they are called."""
+class PolicyTest(unittest.TestCase):
+    """Guards against baselines that do not follow their named policy."""
 
     ADDRESSES = ('a', 'b', 'c')
 
@@ -110,7 +116,7 @@
         for address in self.ADDRESSES:
             self.assertAlmostEqual(1_000, counts[address], delta=100)
 
-    def test_least_outstanding_spreads_over_the_idle(self) -> None:
+    def test_least_outstanding_chooses_idle_addresses_evenly(self) -> None:
         outstanding = _direct.OutstandingCounter()
         outstanding.add('a', 1)
         counts = self.choose('least-outstanding', outstanding)
--- a/tests/test_target.py
+++ b/tests/test_target.py
@@ -20,15 +20,15 @@
 
 
 class TargetTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against a stand-in that hides what entries do to it."""
+    """Guards against a journal that misses what happened to a request."""
 
     async def asyncSetUp(self) -> None:
-        scratch = tempfile.TemporaryDirectory()
-        self.addCleanup(scratch.cleanup)
-        self.journal = str(pathlib.Path(scratch.name) / 'journal')
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.journal = str(pathlib.Path(directory.name) / 'journal')
         self.entry = _loopback.find_free_address()
         self.announced: list[bytes] = []
-        server = _server.Server(self.entry, self.take_announcement)
+        server = _server.Server(self.entry, self.handle_announcement)
         await self.enterAsyncContext(server)
         self.options = settings.TargetSettings(
             target_id='t1',
@@ -53,7 +53,7 @@
         self.running.cancel()
         await asyncio.gather(self.running, return_exceptions=True)
 
-    async def take_announcement(
+    async def handle_announcement(
         self, request: _server.ServerRequest
     ) -> _server.ServerResponse:
         self.announced.append(request.body)
@@ -62,11 +62,11 @@
     async def send(
         self, mark: str, timeout_s: float = 2.0, **headers: str
     ) -> client.Reply:
-        named = {
+        request_headers = {
             name.replace('_', '-'): value for name, value in headers.items()
         }
-        named['Standin-Mark'] = mark
-        request = client.Request('GET', 'shop.example', '/', named)
+        request_headers['Standin-Mark'] = mark
+        request = client.Request('GET', 'shop.example', '/', request_headers)
         return await self.http_client.send(
             self.options.listen, request, timeout_s
         )
@@ -90,8 +90,8 @@
         self.assertEqual(b'x' * 10, reply.body)
         self.assertEqual(['start', 'answered'], self.read_events('m1'))
 
-    async def test_work_beyond_slots_and_queue_is_shed(self) -> None:
-        slow = [
+    async def test_requests_beyond_slots_and_queue_are_shed(self) -> None:
+        slow_requests = [
             asyncio.create_task(self.send(mark, Standin_Service_Ms='300'))
             for mark in ('m1', 'm2')
         ]
@@ -104,15 +104,15 @@
         reply = await self.send('m4')
         self.assertEqual(errors.Outcome.NOT_RUN, client.read_outcome(reply))
         self.assertEqual(['shed'], self.read_events('m4'))
-        await asyncio.gather(*slow)
+        await asyncio.gather(*slow_requests)
 
-    async def test_closed_connection_stops_the_work(self) -> None:
+    async def test_closed_connection_cancels_the_request(self) -> None:
         with self.assertRaises(client.ExchangeError):
             await self.send('m1', 0.1, Standin_Service_Ms='60000')
         await self.wait_for('m1', ['start', 'cancelled'])
         self.assertEqual(200, (await self.send('m2')).status)
 
-    async def test_deadline_stops_the_work(self) -> None:
+    async def test_deadline_stops_the_request(self) -> None:
         reply = await self.send(
             'm1', Standin_Service_Ms='60000', Fulmarseam_Deadline_Ms='50'
         )
@@ -125,11 +125,13 @@
         self.assertTrue(caught.exception.started)
         self.assertEqual(['start', 'truncated'], self.read_events('m1'))
 
-    async def test_leave_is_announced_and_work_finishes(self) -> None:
-        slow = asyncio.create_task(self.send('m1', Standin_Service_Ms='500'))
+    async def test_leave_is_announced_and_open_requests_finish(self) -> None:
+        slow_request = asyncio.create_task(
+            self.send('m1', Standin_Service_Ms='500')
+        )
         await self.wait_for('m1', ['start'])
         self.stop.set()
-        self.assertEqual(200, (await slow).status)
+        self.assertEqual(200, (await slow_request).status)
         async with asyncio.timeout(_target.LEAVE_GRACE_S + 2):
             await self.running
         self.assertIn(b'"leaving"', self.announced[-1])
@@ -142,9 +144,9 @@
 
 
 class JournalTest(unittest.TestCase):
-    """Guards against a journal that a kill makes unreadable."""
+    """Guards against a killed target that leaves an unreadable journal."""
 
-    def test_line_cut_short_is_left_out(self) -> None:
+    def test_partial_last_line_is_skipped(self) -> None:
         record = standin.RunRecord(
             time=1.0,
             event=standin.RunEvent.START,
@@ -155,8 +157,8 @@
             slots=1,
             busy=1,
         )
-        with tempfile.TemporaryDirectory() as folder:
-            path = os.path.join(folder, 'journal')
+        with tempfile.TemporaryDirectory() as directory:
+            path = os.path.join(directory, 'journal')
             journal = standin.Journal(path)
             journal.append(record)
             journal.append(record)
@@ -166,8 +168,8 @@
         self.assertEqual([record], found)
 
 
-class ReporterTest(unittest.TestCase):
-    """Guards against modes that report something else than they say."""
+class LoadReporterTest(unittest.TestCase):
+    """Guards against modes that report another load than documented."""
 
     def report(self, mode: str) -> list[wire.TargetLoad | None]:
         reporter = standin.LoadReporter(mode, lag_s=2.0, slots=4)
@@ -176,36 +178,38 @@
             for now in range(5)
         ]
 
-    def read_busy(self, mode: str) -> list[int | None]:
+    def read_busy_slots(self, mode: str) -> list[int | None]:
         return [load and load.busy_slots for load in self.report(mode)]
 
     def test_modes(self) -> None:
-        self.assertEqual([0, 1, 2, 3, 4], self.read_busy('true'))
-        self.assertEqual([0, 0, 0, 1, 2], self.read_busy('lag'))
-        self.assertEqual([0, 0, 0, 0, 0], self.read_busy('low'))
-        self.assertEqual([4, 4, 4, 4, 4], self.read_busy('high'))
-        self.assertEqual([0, 0, 0, 0, 0], self.read_busy('stuck'))
+        self.assertEqual([0, 1, 2, 3, 4], self.read_busy_slots('true'))
+        self.assertEqual([0, 0, 0, 1, 2], self.read_busy_slots('lag'))
+        self.assertEqual([0, 0, 0, 0, 0], self.read_busy_slots('low'))
+        self.assertEqual([4, 4, 4, 4, 4], self.read_busy_slots('high'))
+        self.assertEqual([0, 0, 0, 0, 0], self.read_busy_slots('stuck'))
         self.assertEqual([None] * 5, self.report('stop'))
 
 
 class ServiceTimeTest(unittest.TestCase):
-    """Guards against service times that miss their settings."""
+    """Guards against service times that deviate from the settings."""
 
     def test_mean_of_each_distribution(self) -> None:
         for name in ('fixed', 'exponential', 'lognormal'):
             service = settings.ServiceTime(name, 10.0, 0.5)
             rng = random.Random(1)
-            drawn = [
+            service_times = [
                 _worker.draw_service_time_s(service, rng, 0.0)
                 for _ in range(20_000)
             ]
-            self.assertAlmostEqual(0.010, sum(drawn) / 20_000, delta=0.0005)
+            self.assertAlmostEqual(
+                0.010, sum(service_times) / 20_000, delta=0.0005
+            )
 
     def test_cold_target_is_slower_until_warm(self) -> None:
         service = settings.ServiceTime('fixed', 10.0, 0.0, 10.0, 5.0)
         rng = random.Random(1)
-        drawn = [
+        service_times = [
             round(_worker.draw_service_time_s(service, rng, age), 4)
             for age in (0.0, 5.0, 10.0)
         ]
-        self.assertEqual([0.05, 0.03, 0.01], drawn)
+        self.assertEqual([0.05, 0.03, 0.01], service_times)
