--- a/fulmarseam/bench/__init__.py
+++ b/fulmarseam/bench/__init__.py
@@ -47,16 +47,16 @@
     plan = _scenarios.make_plan(scenario)
     async with _run.Run(plan) as run:
         await _scenarios.run_scenario(run, scenario, policy)
-        facts = run.collect()
-    figures = _results.compute_figures(name, policy, facts)
+        history = run.collect_history()
+    figures = _results.compute_figures(name, policy, history)
     print(figures.format(), flush=True)
-    for violation in _checker.find_violations(facts)[:SHOWN_VIOLATIONS]:
+    for violation in _checker.find_violations(history)[:SHOWN_VIOLATIONS]:
         print(f'broken: {violation.promise} {violation.detail}')
     if plots is not None:
         # Matplotlib takes a second to load; only plots need it.
         from fulmarseam.bench import _plots
 
-        _plots.plot_run(f'{name}-{policy}', facts, plots)
+        _plots.plot_run(f'{name}-{policy}', history, plots)
     return figures
 
 
--- a/fulmarseam/bench/_checker.py
+++ b/fulmarseam/bench/_checker.py
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Facts:
+class History:
     """What was recorded in one run.
 
     `entry_regions` maps the addresses at which callers reach entries to
@@ -90,46 +90,46 @@
     shifts: Sequence[ShiftCap] = ()
 
 
-def find_violations(facts: Facts) -> list[Violation]:
+def find_violations(history: History) -> list[Violation]:
     """Return all broken promises of a run."""
-    runs = sorted(facts.runs, key=lambda run: run.time)
+    runs = sorted(history.runs, key=lambda run: run.time)
     starts: dict[str, list[standin.RunRecord]] = collections.defaultdict(list)
     for run in runs:
         if run.event is standin.RunEvent.START:
             starts[run.mark].append(run)
-    calls = {call.mark: call for call in facts.calls}
+    calls = {call.mark: call for call in history.calls}
     found: list[Violation] = []
-    found.extend(_check_shifts(facts, calls, runs))
+    found.extend(_check_shifts(history, calls, runs))
     found.extend(_check_slots(runs))
-    found.extend(_check_links(facts, calls, runs))
-    found.extend(_check_calls(facts.calls, starts))
+    found.extend(_check_links(history, calls, runs))
+    found.extend(_check_calls(history.calls, starts))
     found.extend(_check_leaves(runs))
-    found.extend(_check_stops(facts))
-    found.extend(_check_configuration(facts, calls, runs))
+    found.extend(_check_stops(history))
+    found.extend(_check_configuration(history, calls, runs))
     return found
 
 
 def find_entry_region(
-    facts: Facts, call: standin.CallRecord | None
+    history: History, call: standin.CallRecord | None
 ) -> str | None:
     """Return the region of the entry that ran the call."""
     if call is None or not call.attempts:
         return None
-    return facts.entry_regions.get(call.attempts[-1].entry)
+    return history.entry_regions.get(call.attempts[-1].entry)
 
 
 def _check_shifts(
-    facts: Facts,
+    history: History,
     calls: Mapping[str, standin.CallRecord],
     runs: Sequence[standin.RunRecord],
 ) -> Iterator[Violation]:
-    for shift in facts.shifts:
+    for shift in history.shifts:
         arrivals = sorted(
             attempt.sent
-            for call in facts.calls
+            for call in history.calls
             for attempt in call.attempts
-            if facts.route_pools.get(call.route) == shift.pool
-            and facts.entry_regions.get(attempt.entry) == shift.from_region
+            if history.route_pools.get(call.route) == shift.pool
+            and history.entry_regions.get(attempt.entry) == shift.from_region
             and shift.begin <= attempt.sent
         )
         moved = 0
@@ -138,7 +138,7 @@
                 continue
             if run.event not in _ARRIVALS or run.region != shift.to_region:
                 continue
-            region = find_entry_region(facts, calls.get(run.mark))
+            region = find_entry_region(history, calls.get(run.mark))
             if run.pool != shift.pool or region != shift.from_region:
                 continue
             moved += 1
@@ -193,7 +193,7 @@
 
 
 def _check_links(
-    facts: Facts,
+    history: History,
     calls: Mapping[str, standin.CallRecord],
     runs: Sequence[standin.RunRecord],
 ) -> Iterator[Violation]:
@@ -201,14 +201,14 @@
     for run in runs:
         if run.event is not standin.RunEvent.END:
             continue
-        region = find_entry_region(facts, calls.get(run.mark))
+        region = find_entry_region(history, calls.get(run.mark))
         if region is None or region == run.region:
             continue
         window = int(run.time / LINK_WINDOW_S)
         windows[f'{region}>{run.region}', window] += run.received_bytes
         windows[f'{run.region}>{region}', window] += run.sent_bytes
     for (link, _), size in windows.items():
-        limit = facts.link_bytes_per_s.get(link)
+        limit = history.link_bytes_per_s.get(link)
         if limit is not None and size > limit * LINK_WINDOW_S:
             yield Violation(
                 'P2', f'{size} bytes over {link} in one window, limit {limit}'
@@ -264,9 +264,9 @@
             )
 
 
-def _check_stops(facts: Facts) -> Iterator[Violation]:
-    for stop in facts.stops:
-        for call in facts.calls:
+def _check_stops(history: History) -> Iterator[Violation]:
+    for stop in history.stops:
+        for call in history.calls:
             if call.action in _BREAKING_ACTIONS:
                 continue
             for attempt in call.attempts:
@@ -286,12 +286,12 @@
 
 
 def _check_configuration(
-    facts: Facts,
+    history: History,
     calls: Mapping[str, standin.CallRecord],
     runs: Sequence[standin.RunRecord],
 ) -> Iterator[Violation]:
-    retired = {item.route: item.accepted for item in facts.retirements}
-    drained = {item.target: item.accepted for item in facts.drains}
+    retired = {item.route: item.accepted for item in history.retirements}
+    drained = {item.target: item.accepted for item in history.drains}
     for run in runs:
         if run.event not in _ARRIVALS:
             continue
--- a/fulmarseam/bench/_demo.py
+++ b/fulmarseam/bench/_demo.py
@@ -20,11 +20,11 @@
 HEADINGS = ('route', 'good', 'not-run', 'unknown', 'p50', 'p99', 'p99.9')
 
 
-def print_table(facts: _checker.Facts) -> None:
+def print_table(history: _checker.History) -> None:
     """Print the outcomes and latencies of each route."""
     print('{:<20}{:>8}{:>9}{:>9}{:>9}{:>9}{:>9}'.format(*HEADINGS))
-    for route in sorted({call.route for call in facts.calls}):
-        calls = [call for call in facts.calls if call.route == route]
+    for route in sorted({call.route for call in history.calls}):
+        calls = [call for call in history.calls if call.route == route]
         latencies = _results.Latencies(calls)
         not_run = sum(call.outcome == 'not-run' for call in calls)
         unknown = sum(call.outcome == 'unknown' for call in calls)
@@ -85,11 +85,11 @@
         taken = await run.cluster.stop(plan.targets[-1].name)
         print(f'{plan.targets[-1].name} left and ended after {taken:.3f} s')
         await run.wait_loads(LOAD_S)
-        facts = run.collect()
-    print_table(facts)
-    drains = _results.measure_drains(facts.runs)
+        history = run.collect_history()
+    print_table(history)
+    drains = _results.measure_drains(history.runs)
     print(f'drain_s={max(drains, default=0.0):.3f}')
-    violations = _checker.find_violations(facts)
+    violations = _checker.find_violations(history)
     for violation in violations:
         print(f'broken: {violation.promise} {violation.detail}')
     print(f'broken_promises={len(violations)}')
--- a/fulmarseam/bench/_plots.py
+++ b/fulmarseam/bench/_plots.py
@@ -19,9 +19,11 @@
 SIZE_INCHES = (8, 4.5)
 
 
-def plot_traffic(facts: _checker.Facts, path: pathlib.Path) -> None:
+def plot_traffic(history: _checker.History, path: pathlib.Path) -> None:
     """Plot the runs a second at the targets of each region over time."""
-    starts = [run for run in facts.runs if run.event is standin.RunEvent.START]
+    starts = [
+        run for run in history.runs if run.event is standin.RunEvent.START
+    ]
     begin = min((run.time for run in starts), default=0.0)
     counts: dict[str, collections.Counter[int]] = collections.defaultdict(
         collections.Counter
@@ -36,13 +38,13 @@
     _finish(figure, axes, 'time (s)', 'runs a second', path)
 
 
-def plot_latencies(facts: _checker.Facts, path: pathlib.Path) -> None:
+def plot_latencies(history: _checker.History, path: pathlib.Path) -> None:
     """Plot the latency percentiles of each route."""
     figure, axes = pyplot.subplots(figsize=SIZE_INCHES)
     ticks = list(range(len(PERCENTILES)))
-    for route in sorted({call.route for call in facts.calls}):
+    for route in sorted({call.route for call in history.calls}):
         latencies = _results.Latencies(
-            call for call in facts.calls if call.route == route
+            call for call in history.calls if call.route == route
         )
         values = [latencies.read_ms(part) for part in PERCENTILES]
         axes.plot(ticks, values, marker='o', label=route)
@@ -63,12 +65,12 @@
 
 
 def plot_run(
-    name: str, facts: _checker.Facts, folder: pathlib.Path
+    name: str, history: _checker.History, folder: pathlib.Path
 ) -> Sequence[pathlib.Path]:
     """Write the plots of a run and return their files."""
     folder.mkdir(parents=True, exist_ok=True)
     traffic = folder / f'{name}-traffic.png'
     latencies = folder / f'{name}-latencies.png'
-    plot_traffic(facts, traffic)
-    plot_latencies(facts, latencies)
+    plot_traffic(history, traffic)
+    plot_latencies(history, latencies)
     return traffic, latencies
--- a/fulmarseam/bench/_results.py
+++ b/fulmarseam/bench/_results.py
@@ -158,7 +158,7 @@
     return [last[key] - left[key] for key in left]
 
 
-def count_refused_with_room(facts: _checker.Facts, usage: Usage) -> int:
+def count_refused_with_room(history: _checker.History, usage: Usage) -> int:
     """Return the calls refused for want of slots while slots were free.
 
     Slots must have been free during the whole call.
@@ -167,21 +167,21 @@
         call.kind in ROOM_KINDS
         and call.outcome == errors.Outcome.NOT_RUN.value
         and usage.find_free(
-            facts.route_pools.get(call.route, ''), call.intended, call.ended
+            history.route_pools.get(call.route, ''), call.intended, call.ended
         )
         > 0
-        for call in facts.calls
+        for call in history.calls
     )
 
 
 def compute_figures(
-    scenario: str, policy: str, facts: _checker.Facts
+    scenario: str, policy: str, history: _checker.History
 ) -> Figures:
     """Return the figures of a run."""
-    latencies = Latencies(facts.calls)
-    begin = min((call.intended for call in facts.calls), default=0.0)
-    end = max((call.intended for call in facts.calls), default=0.0)
-    drains = measure_drains(facts.runs)
+    latencies = Latencies(history.calls)
+    begin = min((call.intended for call in history.calls), default=0.0)
+    end = max((call.intended for call in history.calls), default=0.0)
+    drains = measure_drains(history.runs)
     return Figures(
         scenario=scenario,
         policy=policy,
@@ -189,8 +189,10 @@
         p99_ms=latencies.read_ms(99),
         p999_ms=latencies.read_ms(99.9),
         goodput=latencies.count / (end - begin) if end > begin else 0.0,
-        refused_with_room=count_refused_with_room(facts, Usage(facts.runs)),
-        headroom=measure_headroom(facts.runs, begin, end),
+        refused_with_room=count_refused_with_room(
+            history, Usage(history.runs)
+        ),
+        headroom=measure_headroom(history.runs, begin, end),
         drain_s=max(drains, default=0.0),
-        broken_promises=len(_checker.find_violations(facts)),
+        broken_promises=len(_checker.find_violations(history)),
     )
--- a/fulmarseam/bench/_run.py
+++ b/fulmarseam/bench/_run.py
@@ -45,7 +45,7 @@
 
 
 class Run:
-    """A cluster under load, with the facts for the checker."""
+    """A cluster under load, with the history for the checker."""
 
     def __init__(self, plan: _plan.Plan) -> None:
         self.cluster = _cluster.Cluster(plan)
@@ -261,15 +261,15 @@
         )
         return taken
 
-    def collect(self) -> _checker.Facts:
-        """Return the facts recorded so far."""
+    def collect_history(self) -> _checker.History:
+        """Return the history recorded so far."""
         plan = self.cluster.plan
         calls = [
             call
             for name in self._loads
             for call in self.cluster.read_calls(name)
         ]
-        return _checker.Facts(
+        return _checker.History(
             calls=calls,
             runs=self.cluster.read_runs(),
             entry_regions={
--- a/fulmarseam/bench/_scenarios.py
+++ b/fulmarseam/bench/_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios: each makes a run, disturbs it and leaves its facts.
+"""The scenarios: each makes a run, disturbs it and leaves its history.
 
 Loads last `DURATION_S`. Rates are shares of what the targets can serve.
 """
--- a/tests/integration/_case.py
+++ b/tests/integration/_case.py
@@ -62,13 +62,13 @@
         """Start a group whose entries have all answered once."""
         return await self.enterAsyncContext(_run.Run(plan))
 
-    def check(self, run: _run.Run, least_good: int) -> _checker.Facts:
+    def check(self, run: _run.Run, least_good: int) -> _checker.History:
         """Fail on a broken promise, or on too few good answers."""
-        facts = run.collect()
-        self.assertEqual([], _checker.find_violations(facts))
+        history = run.collect_history()
+        self.assertEqual([], _checker.find_violations(history))
         good = sum(
             call.outcome == 'answered' and call.status == 200
-            for call in facts.calls
+            for call in history.calls
         )
         self.assertGreaterEqual(good, least_good)
-        return facts
+        return history
--- a/tests/integration/test_entries.py
+++ b/tests/integration/test_entries.py
@@ -81,8 +81,8 @@
         await _run.wait_until_moment(run, 3.0)
         run.cluster.processes['e-ost-0'].start()
         await run.wait_loads(5.0)
-        facts = self.check(run, least_good=300)
-        unknown = [call for call in facts.calls if call.outcome == 'unknown']
+        history = self.check(run, least_good=300)
+        unknown = [call for call in history.calls if call.outcome == 'unknown']
         # Without a record holder, claims of its region are refused until
         # the group is repaired; the system says so and runs nothing.
         waiting = [
@@ -205,9 +205,9 @@
         leader = await run.cluster.wait_leader(5.0)
         run.cluster.processes[leader].kill()
         await run.wait_loads(6.0)
-        facts = self.check(run, least_good=300)
+        history = self.check(run, least_good=300)
         self.assertEqual(
-            [], [call for call in facts.calls if call.outcome == 'unknown']
+            [], [call for call in history.calls if call.outcome == 'unknown']
         )
 
 
@@ -228,8 +228,8 @@
         self.assertEqual(0, run.cluster.processes['e-ost-0'].exit_code)
         self.assertLess(taken, 6.0 + 3.0)
         await run.wait_loads(10.0)
-        facts = self.check(run, least_good=500)
-        lost = [call for call in facts.calls if call.outcome == 'unknown']
+        history = self.check(run, least_good=500)
+        lost = [call for call in history.calls if call.outcome == 'unknown']
         self.assertEqual([], lost)
 
     async def test_callers_that_keep_an_answer_past_a_stop(self) -> None:
@@ -360,6 +360,6 @@
         route = _case.make_route(_case.POOL, retired=True)
         await run.put(route)
         await run.wait_loads(9.0)
-        facts = self.check(run, least_good=30)
-        late = [call for call in facts.calls if call.status == 410]
+        history = self.check(run, least_good=30)
+        late = [call for call in history.calls if call.status == 410]
         self.assertGreater(len(late), 50)
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -108,8 +108,10 @@
         await cluster.command_target('t-katalog-ost-0', shed)
         run.start_load('ost', READS, [(40.0, 3.0)])
         await run.wait_loads(3.0)
-        facts = self.check(run, least_good=100)
-        shed_runs = [item for item in facts.runs if item.event.value == 'shed']
+        history = self.check(run, least_good=100)
+        shed_runs = [
+            item for item in history.runs if item.event.value == 'shed'
+        ]
         self.assertGreater(len(shed_runs), 0)
 
     async def test_caller_that_leaves_stops_the_work(self) -> None:
@@ -154,17 +156,17 @@
         )
         self.assertEqual(0, process.exit_code)
         await run.wait_loads(6.0)
-        facts = self.check(run, least_good=least_good)
+        history = self.check(run, least_good=least_good)
         cut = [
             call
-            for call in facts.calls
+            for call in history.calls
             if call.outcome == 'unknown'
             and (by_load or call.kind != TIMEOUT_KIND)
         ]
         self.assertEqual([], cut)
         before = [
             item
-            for item in facts.runs
+            for item in history.runs
             if item.target == name and item.event is standin.RunEvent.START
         ]
         self.assertGreater(len(before), 0)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -68,8 +68,8 @@
 class CheckerTest(unittest.TestCase):
     """Guards against a checker that misses a broken promise."""
 
-    def find(self, facts: _checker.Facts) -> list[str]:
-        return [item.promise for item in _checker.find_violations(facts)]
+    def find(self, history: _checker.History) -> list[str]:
+        return [item.promise for item in _checker.find_violations(history)]
 
     def find_in(
         self,
@@ -77,14 +77,14 @@
         runs: list[standin.RunRecord],
         **more: object,
     ) -> list[str]:
-        facts = _checker.Facts(
+        history = _checker.History(
             calls,
             runs,
             entry_regions={ENTRY: 'ost'},
             route_pools={'list': 'katalog'},
             **more,  # type: ignore[arg-type]
         )
-        return self.find(facts)
+        return self.find(history)
 
     def test_good_run_breaks_nothing(self) -> None:
         calls = [make_call('m1'), make_call('m2', outcome='not-run', status=0)]
