--- a/fulmarseam/bench/_scenarios.py
+++ b/fulmarseam/bench/_scenarios.py
@@ -98,7 +98,7 @@
     """Separate the control leader silently for 4 s, then heal."""
     leader = await run.cluster.wait_leader(5.0)
     await run.cluster.isolate({leader})
-    await _run.wait_until_moment(run, DISTURB_AT_S + 4.0)
+    await _run.wait_until_offset(run, DISTURB_AT_S + 4.0)
     await run.cluster.links.heal()
 
 
@@ -106,7 +106,7 @@
     """Kill one entry and start it again after 3 s."""
     process = run.cluster.processes[run.cluster.plan.entries[0].name]
     process.kill()
-    await _run.wait_until_moment(run, DISTURB_AT_S + 3.0)
+    await _run.wait_until_offset(run, DISTURB_AT_S + 3.0)
     process.start()
 
 
@@ -190,6 +190,6 @@
             late = find_rate_per_s(run.cluster.plan, region, scenario.surge)
         phases = [(base, DISTURB_AT_S), (late, DURATION_S - DISTURB_AT_S)]
         run.start_load(region, routes, phases, policy)
-    await _run.wait_until_moment(run, DISTURB_AT_S)
+    await _run.wait_until_offset(run, DISTURB_AT_S)
     await scenario.disturb(run)
     await run.wait_loads(DURATION_S)
--- a/tests/integration/test_entries.py
+++ b/tests/integration/test_entries.py
@@ -75,10 +75,10 @@
         run = await self.start_run(_case.make_plan())
         for region in _case.REGIONS:
             run.start_load(region, ROUTES, [(60.0, 5.0)])
-        await _run.wait_until_moment(run, 1.5)
+        await _run.wait_until_offset(run, 1.5)
         killed = time.monotonic()
         run.cluster.processes['e-ost-0'].kill()
-        await _run.wait_until_moment(run, 3.0)
+        await _run.wait_until_offset(run, 3.0)
         run.cluster.processes['e-ost-0'].start()
         await run.wait_loads(5.0)
         history = self.check(run, least_good=300)
@@ -157,7 +157,7 @@
         cluster = run.cluster
         routes = ROUTES if once else ROUTES[:1]
         run.start_load('ost', routes, [(40.0, 6.0)])
-        await _run.wait_until_moment(run, 0.5)
+        await _run.wait_until_offset(run, 0.5)
         start = time.monotonic()
         await cluster.isolate({'e-ost-0'}, incoming, outgoing)
         await run.put(_case.make_route('other', retired=True))
@@ -186,7 +186,7 @@
         cluster = run.cluster
         for region in _case.REGIONS:
             run.start_load(region, ROUTES, [(40.0, 8.0)])
-        await _run.wait_until_moment(run, 1.0)
+        await _run.wait_until_offset(run, 1.0)
         await cluster.isolate(cluster.list_region('ost'))
         for name in ('e-ost-0', 'e-ost-1'):
             await self.wait_kind(
@@ -201,7 +201,7 @@
     async def test_kill_of_the_control_leader_under_load(self) -> None:
         run = await self.start_run(_case.make_plan())
         run.start_load('ost', ROUTES, [(60.0, 6.0)])
-        await _run.wait_until_moment(run, 1.5)
+        await _run.wait_until_offset(run, 1.5)
         leader = await run.cluster.wait_leader(5.0)
         run.cluster.processes[leader].kill()
         await run.wait_loads(6.0)
@@ -223,7 +223,7 @@
         ]
         routes[-1]['name'] = 'slow'
         run.start_load('ost', routes, [(60.0, 10.0)])
-        await _run.wait_until_moment(run, 1.0)
+        await _run.wait_until_offset(run, 1.0)
         taken = await run.stop_entry('e-ost-0')
         self.assertEqual(0, run.cluster.processes['e-ost-0'].exit_code)
         self.assertLess(taken, 6.0 + 3.0)
@@ -356,7 +356,7 @@
             _case.make_plan(regions=['ost'], once=False)
         )
         run.start_load('ost', ROUTES[:1], [(40.0, 9.0)])
-        await _run.wait_until_moment(run, 2.5)
+        await _run.wait_until_offset(run, 2.5)
         route = _case.make_route(_case.POOL, retired=True)
         await run.put(route)
         await run.wait_loads(9.0)
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -62,9 +62,9 @@
         )
         routes = [*READS, _run.make_route_load(_case.POOL, once=True)]
         run.start_load('ost', routes, [(80.0, 6.0)])
-        await _run.wait_until_moment(run, 2.0)
+        await _run.wait_until_offset(run, 2.0)
         run.kill_target('t-katalog-ost-0')
-        await _run.wait_until_moment(run, 4.0)
+        await _run.wait_until_offset(run, 4.0)
         run.cluster.processes['t-katalog-ost-0'].start()
         await run.wait_loads(6.0)
         self.check(run, least_good=420)
@@ -76,10 +76,10 @@
             )
         )
         run.start_load('ost', READS, [(60.0, 8.0)])
-        await _run.wait_until_moment(run, 2.0)
+        await _run.wait_until_offset(run, 2.0)
         frozen = run.cluster.processes['t-katalog-ost-0']
         frozen.freeze()
-        await _run.wait_until_moment(run, 6.0)
+        await _run.wait_until_offset(run, 6.0)
         frozen.thaw()
         await run.wait_loads(8.0)
         self.check(run, least_good=380)
@@ -146,7 +146,7 @@
     ) -> None:
         """Let a target leave under load, without a name the busiest one."""
         run.start_load('ost', READS, [(rate, 6.0)])
-        await _run.wait_until_moment(run, 1.5)
+        await _run.wait_until_offset(run, 1.5)
         by_load = name is None
         name = name or self.find_busiest(run.cluster)
         process = run.cluster.processes[name]
@@ -282,7 +282,7 @@
         )
         cluster = run.cluster
         run.start_load('ost', READS, [(60.0, 6.0)])
-        await _run.wait_until_moment(run, 1.0)
+        await _run.wait_until_offset(run, 1.0)
         kinds = []
         for number in range(8):
             entry = f'e-ost-{number % 2}'
@@ -313,7 +313,7 @@
         )
         modes = ('stop', 'low', 'high', 'stuck')
         run.start_load('ost', READS, [(80.0, 5.0)])
-        await _run.wait_until_moment(run, 1.0)
+        await _run.wait_until_offset(run, 1.0)
         for target, mode in zip(run.cluster.plan.targets, modes, strict=True):
             command = standin.TargetCommand(reports=mode)
             await run.cluster.command_target(target.name, command)
