--- a/fulmarseam/bench/__init__.py
+++ b/fulmarseam/bench/__init__.py
@@ -45,7 +45,7 @@
 ) -> _results.Figures:
     scenario = _scenarios.SCENARIOS[name]
     plan = _scenarios.make_plan(scenario)
-    async with _run.Run(plan) as run:
+    async with _run.ScenarioRun(plan) as run:
         await _scenarios.run_scenario(run, scenario, policy)
         history = run.collect_history()
     figures = _results.compute_figures(name, policy, history)
--- a/fulmarseam/bench/_demo.py
+++ b/fulmarseam/bench/_demo.py
@@ -35,7 +35,7 @@
         )
 
 
-async def change_route(run: _run.Run) -> None:
+async def change_route(run: _run.ScenarioRun) -> None:
     """Add a route and report when it is in force on all entries."""
     start = time.monotonic()
     result = await run.put(
@@ -72,7 +72,7 @@
         _run.make_route_load(POOLS[0], weight=3.0),
         _run.make_route_load(POOLS[1], once=True),
     ]
-    async with _run.Run(plan) as run:
+    async with _run.ScenarioRun(plan) as run:
         print(f'started {len(run.cluster.processes)} processes')
         for region in REGIONS:
             run.start_load(region, routes, [(RATE_PER_S, LOAD_S)])
--- a/fulmarseam/bench/_run.py
+++ b/fulmarseam/bench/_run.py
@@ -44,7 +44,7 @@
     )
 
 
-class Run:
+class ScenarioRun:
     """A cluster under load, with the history for the checker."""
 
     def __init__(self, plan: _plan.Plan) -> None:
@@ -297,7 +297,7 @@
     return process.exit_code is not None
 
 
-async def wait_until_offset(run: Run, offset_s: float) -> None:
+async def wait_until_offset(run: ScenarioRun, offset_s: float) -> None:
     """Wait until a moment after the first call of the first load."""
     began = await run.wait_first_call()
     await asyncio.sleep(max(0.0, began + offset_s - time.monotonic()))
--- a/fulmarseam/bench/_scenarios.py
+++ b/fulmarseam/bench/_scenarios.py
@@ -24,7 +24,7 @@
 REGIONS = ('ost', 'west', 'sued')
 POOL = 'katalog'
 
-Disturb = Callable[[_run.Run], Awaitable[None]]
+Disturb = Callable[[_run.ScenarioRun], Awaitable[None]]
 
 
 class Scenario(NamedTuple):
@@ -40,18 +40,18 @@
     target_options: dict[str, Any] = {}
 
 
-async def leave_alone(run: _run.Run) -> None:
+async def leave_alone(run: _run.ScenarioRun) -> None:
     """Disturb nothing."""
 
 
-async def lose_pool(run: _run.Run) -> None:
+async def lose_pool(run: _run.ScenarioRun) -> None:
     """Kill all targets of the pool in the first region."""
     for target in run.cluster.plan.targets:
         if target.region == REGIONS[0]:
             run.kill_target(target.name)
 
 
-async def lose_region(run: _run.Run) -> None:
+async def lose_region(run: _run.ScenarioRun) -> None:
     """Kill all processes of the last region."""
     targets = {target.name for target in run.cluster.plan.targets}
     for name in sorted(run.cluster.list_region(REGIONS[-1])):
@@ -61,7 +61,7 @@
             run.cluster.processes[name].kill()
 
 
-async def shift_traffic(run: _run.Run) -> None:
+async def shift_traffic(run: _run.ScenarioRun) -> None:
     """Shift up to 30% of the pool from the first region to the second."""
     now = time.time()
     await run.put(
@@ -78,7 +78,7 @@
     )
 
 
-async def restart_cold(run: _run.Run) -> None:
+async def restart_cold(run: _run.ScenarioRun) -> None:
     """Replace the targets of the first region by cold ones."""
     for target in run.cluster.plan.targets:
         if target.region == REGIONS[0]:
@@ -86,7 +86,7 @@
             run.cluster.processes[target.name].start()
 
 
-async def stop_reports(run: _run.Run) -> None:
+async def stop_reports(run: _run.ScenarioRun) -> None:
     """Stop the load reports of all targets; they serve on."""
     for target in run.cluster.plan.targets:
         await run.cluster.command_target(
@@ -94,7 +94,7 @@
         )
 
 
-async def partition_leader(run: _run.Run) -> None:
+async def partition_leader(run: _run.ScenarioRun) -> None:
     """Separate the control leader silently for 4 s, then heal."""
     leader = await run.cluster.wait_leader(5.0)
     await run.cluster.isolate({leader})
@@ -102,7 +102,7 @@
     await run.cluster.links.heal()
 
 
-async def kill_entry(run: _run.Run) -> None:
+async def kill_entry(run: _run.ScenarioRun) -> None:
     """Kill one entry and start it again after 3 s."""
     process = run.cluster.processes[run.cluster.plan.entries[0].name]
     process.kill()
@@ -110,7 +110,7 @@
     process.start()
 
 
-async def drain_rolling(run: _run.Run) -> None:
+async def drain_rolling(run: _run.ScenarioRun) -> None:
     """Stop and restart the targets of the first region one by one."""
     for target in run.cluster.plan.targets:
         if target.region == REGIONS[0]:
@@ -177,7 +177,9 @@
     return share * slots / (MEAN_SERVICE_MS / 1_000)
 
 
-async def run_scenario(run: _run.Run, scenario: Scenario, policy: str) -> None:
+async def run_scenario(
+    run: _run.ScenarioRun, scenario: Scenario, policy: str
+) -> None:
     """Run the loads of a scenario and disturb them."""
     routes = [
         _run.make_route_load(POOL, weight=3.0),
--- a/tests/integration/_case.py
+++ b/tests/integration/_case.py
@@ -58,11 +58,13 @@
         """Start a group."""
         return await self.enterAsyncContext(_cluster.Cluster(plan))
 
-    async def start_run(self, plan: _plan.Plan) -> _run.Run:
+    async def start_run(self, plan: _plan.Plan) -> _run.ScenarioRun:
         """Start a group whose entries have all answered once."""
-        return await self.enterAsyncContext(_run.Run(plan))
+        return await self.enterAsyncContext(_run.ScenarioRun(plan))
 
-    def check(self, run: _run.Run, least_good: int) -> _checker.History:
+    def check(
+        self, run: _run.ScenarioRun, least_good: int
+    ) -> _checker.History:
         """Fail on a broken promise, or on too few good answers."""
         history = run.collect_history()
         self.assertEqual([], _checker.find_violations(history))
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -142,7 +142,11 @@
     """Guards against new work on a target that leaves."""
 
     async def check_leave(
-        self, run: _run.Run, name: str | None, rate: float, least_good: int
+        self,
+        run: _run.ScenarioRun,
+        name: str | None,
+        rate: float,
+        least_good: int,
     ) -> None:
         """Let a target leave under load, without a name the busiest one."""
         run.start_load('ost', READS, [(rate, 6.0)])
