--- a/fulmarseam/bench/_operator.py
+++ b/fulmarseam/bench/_operator.py
@@ -70,13 +70,13 @@
             return None
         return answer if isinstance(answer, wire.StatusResponse) else None
 
-    async def find_leader(self, besides: str | None = None) -> str | None:
+    async def find_leader(self, excluded: str | None = None) -> str | None:
         """Return the member that leads with a valid leadership age.
 
         With several such members, as between two leaders, the one of the
-        highest term counts. The member `besides` is not asked.
+        highest term counts. The member `excluded` is not asked.
         """
-        asked = [name for name in self._clients if name != besides]
+        asked = [name for name in self._clients if name != excluded]
         answers = await asyncio.gather(*map(self.read_status, asked))
         leading = [
             answer
--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -34,7 +34,7 @@
         self, cluster: _cluster.Cluster, former: str
     ) -> float:
         return await _waiting.wait_until(
-            lambda: cluster.operator.find_leader(besides=former),
+            lambda: cluster.operator.find_leader(excluded=former),
             10.0,
             'another leader',
         )
