--- a/fulmarseam/bench/_processes.py
+++ b/fulmarseam/bench/_processes.py
@@ -85,11 +85,11 @@
         if self._child is not None:
             self._child.wait(STOP_TIMEOUT_S)
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Stop the process without ending it."""
         self.signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let a frozen process go on."""
         self.signal(signal.SIGCONT)
 
--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -114,10 +114,10 @@
     async def test_freeze_of_the_leader(self) -> None:
         cluster = await self.start_cluster(_case.make_control_plan(3))
         former = await cluster.wait_leader(5)
-        cluster.processes[former].freeze()
+        cluster.processes[former].pause()
         await self.wait_other_leader(cluster, former)
         revision = await self.put_route(cluster, 'during')
-        cluster.processes[former].thaw()
+        cluster.processes[former].resume()
         await self.wait_applied(cluster, former, revision)
         self.assertIn('during', await self.read_routes(cluster))
 
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -78,9 +78,9 @@
         run.start_load('ost', READS, [(60.0, 8.0)])
         await _run.wait_until_offset(run, 2.0)
         frozen = run.cluster.processes['t-katalog-ost-0']
-        frozen.freeze()
+        frozen.pause()
         await _run.wait_until_offset(run, 6.0)
-        frozen.thaw()
+        frozen.resume()
         await run.wait_loads(8.0)
         self.check(run, least_good=380)
 
