--- a/fulmarseam/bench/_cluster.py
+++ b/fulmarseam/bench/_cluster.py
@@ -78,13 +78,15 @@
 
     def _write_settings(self) -> None:
         for control in self.plan.controls:
-            self.add('control', control.name, self._describe_control(control))
+            self.add(
+                'control', control.name, self._make_control_settings(control)
+            )
         for entry in self.plan.entries:
-            self.add('entry', entry.name, self._describe_entry(entry))
+            self.add('entry', entry.name, self._make_entry_settings(entry))
         for target in self.plan.targets:
-            self.add('target', target.name, self.describe_target(target))
+            self.add('target', target.name, self.make_target_settings(target))
         if self.plan.faulty:
-            options = self.links.make_options(self._find_delay_ms)
+            options = self.links.make_proxy_settings(self._find_delay_ms)
             self.add('faultproxy', 'proxy', options)
 
     def add(self, program: str, name: str, options: Any) -> None:
@@ -100,7 +102,9 @@
             return 0.0
         return self.plan.delay_ms
 
-    def _describe_control(self, node: _plan.ControlPlan) -> dict[str, Any]:
+    def _make_control_settings(
+        self, node: _plan.ControlPlan
+    ) -> dict[str, Any]:
         own = self.addresses[node.name]
         members = {
             other.name: {
@@ -129,11 +133,11 @@
         node = _plan.ControlPlan(name, region)
         self.addresses[name] = Addresses()
         self.regions[name] = region
-        options = self._describe_control(node)
+        options = self._make_control_settings(node)
         self.add('control', name, {**options, 'join': True})
         self.operator.add_member(name, self.addresses[name].listen)
 
-    def _describe_entry(self, node: _plan.EntryPlan) -> dict[str, Any]:
+    def _make_entry_settings(self, node: _plan.EntryPlan) -> dict[str, Any]:
         own = self.addresses[node.name]
         options: dict[str, Any] = {
             'entry_id': node.name,
@@ -164,7 +168,7 @@
             options['data_dir'] = str(self.folder / f'{node.name}-data')
         return options
 
-    def describe_target(self, node: _plan.TargetPlan) -> dict[str, Any]:
+    def make_target_settings(self, node: _plan.TargetPlan) -> dict[str, Any]:
         """Return the settings of a target."""
         own = self.addresses[node.name]
         return {
--- a/fulmarseam/bench/_links.py
+++ b/fulmarseam/bench/_links.py
@@ -62,7 +62,7 @@
             self._links[name] = link
         return self._links[name].listen
 
-    def make_options(
+    def make_proxy_settings(
         self, delay_ms_between: Callable[[str, str], float]
     ) -> dict[str, Any]:
         """Return the settings of the fault proxy."""
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -201,7 +201,7 @@
         run = await self.start_run(plan)
         cluster = run.cluster
         name = 't-katalog-ost-1'
-        options = cluster.describe_target(plan.targets[1])
+        options = cluster.make_target_settings(plan.targets[1])
         cluster.processes[name].kill()
         cluster.add(
             'target',
