--- a/fulmarseam/bench/_cluster.py
+++ b/fulmarseam/bench/_cluster.py
@@ -341,7 +341,7 @@
             lambda: process.exit_code is not None, timeout_s, f'{name} ended'
         )
 
-    def wipe(self, name: str) -> None:
+    def wipe_data_dir(self, name: str) -> None:
         """Remove the data directory of a process that does not run."""
         assert self.processes[name].pid is None
         shutil.rmtree(self.folder / f'{name}-data')
--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -199,7 +199,7 @@
         cluster = await self.start_cluster(_case.make_control_plan(3))
         name = await self.find_follower(cluster)
         cluster.processes[name].kill()
-        cluster.wipe(name)
+        cluster.wipe_data_dir(name)
         cluster.processes[name].start()
         await self.expect_refusal(cluster, name)
         await self.put_route(cluster, 'later')
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -211,7 +211,7 @@
         cluster.processes[name].start()
         await run.warm_up()
         controls = {control.name for control in plan.controls}
-        await cluster.separate({plan.entries[0].name}, controls)
+        await cluster.partition({plan.entries[0].name}, controls)
         # Callers of the entry that is cut off may be refused for 3 s.
         await self.check_leave(run, name, 30.0, 60)
 
