--- a/fulmarseam/bench/_cluster.py
+++ b/fulmarseam/bench/_cluster.py
@@ -78,18 +78,22 @@
 
     def _write_settings(self) -> None:
         for control in self.plan.controls:
-            self.add(
+            self.add_process(
                 'control', control.name, self._make_control_settings(control)
             )
         for entry in self.plan.entries:
-            self.add('entry', entry.name, self._make_entry_settings(entry))
+            self.add_process(
+                'entry', entry.name, self._make_entry_settings(entry)
+            )
         for target in self.plan.targets:
-            self.add('target', target.name, self.make_target_settings(target))
+            self.add_process(
+                'target', target.name, self.make_target_settings(target)
+            )
         if self.plan.faulty:
             options = self.links.make_proxy_settings(self._find_delay_ms)
-            self.add('faultproxy', 'proxy', options)
+            self.add_process('faultproxy', 'proxy', options)
 
-    def add(self, program: str, name: str, options: Any) -> None:
+    def add_process(self, program: str, name: str, options: Any) -> None:
         """Write the settings of a further process."""
         self.processes[name] = _processes.Process(
             program, name, options, self.folder
@@ -134,7 +138,7 @@
         self.addresses[name] = Addresses()
         self.regions[name] = region
         options = self._make_control_settings(node)
-        self.add('control', name, {**options, 'join': True})
+        self.add_process('control', name, {**options, 'join': True})
         self.operator.add_member(name, self.addresses[name].listen)
 
     def _make_entry_settings(self, node: _plan.EntryPlan) -> dict[str, Any]:
--- a/fulmarseam/bench/_run.py
+++ b/fulmarseam/bench/_run.py
@@ -130,7 +130,7 @@
             'caller': name,
             'journal': str(self.cluster.find_journal(name)),
         }
-        self.cluster.add('load', name, options)
+        self.cluster.add_process('load', name, options)
         self.cluster.processes[name].start()
         self._loads.append(name)
         return name
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -203,7 +203,7 @@
         name = 't-katalog-ost-1'
         options = cluster.make_target_settings(plan.targets[1])
         cluster.processes[name].kill()
-        cluster.add(
+        cluster.add_process(
             'target',
             name,
             {**options, 'leave_entries': options['entries'][:1]},
