--- a/fulmarseam/bench/_cluster.py
+++ b/fulmarseam/bench/_cluster.py
@@ -239,7 +239,7 @@
         for control in self.plan.controls:
             self.processes[control.name].start()
         await self.wait_leader(START_TIMEOUT_S)
-        result = await self.operator.put(self.plan.rows)
+        result = await self.operator.put_rows(self.plan.rows)
         if result.kind is not None:
             raise errors.FulmarseamError(
                 errors.ErrorKind(result.kind), '; '.join(result.problems)
--- a/fulmarseam/bench/_demo.py
+++ b/fulmarseam/bench/_demo.py
@@ -38,7 +38,7 @@
 async def change_route(run: _run.ScenarioRun) -> None:
     """Add a route and report when it is in force on all entries."""
     start = time.monotonic()
-    result = await run.put(
+    result = await run.put_rows(
         wire.Route(
             name=ids.RouteName('prospekt'),
             host='prospekt.example',
--- a/fulmarseam/bench/_run.py
+++ b/fulmarseam/bench/_run.py
@@ -180,7 +180,7 @@
 
     async def put(self, *rows: wire.Row) -> wire.EditResult:
         """Make an edit that must be accepted, and note what it promises."""
-        result = await self.cluster.operator.put(rows)
+        result = await self.cluster.operator.put_rows(rows)
         if result.kind is not None:
             raise errors.FulmarseamError(
                 errors.ErrorKind(result.kind), '; '.join(result.problems)
--- a/fulmarseam/bench/_scenarios.py
+++ b/fulmarseam/bench/_scenarios.py
@@ -64,7 +64,7 @@
 async def shift_traffic(run: _run.ScenarioRun) -> None:
     """Shift up to 30% of the pool from the first region to the second."""
     now = time.time()
-    await run.put(
+    await run.put_rows(
         wire.Shift(
             name='bench-shift',
             pool=ids.PoolName(POOL),
--- a/fulmarseam/bench/capacity/_changes.py
+++ b/fulmarseam/bench/capacity/_changes.py
@@ -97,7 +97,7 @@
     row = wire.Pool(
         name=ids.PoolName('capacity'), queue_limit=1 + number % 1_000
     )
-    result = await cluster.operator.put([row])
+    result = await cluster.operator.put_rows([row])
     return result.revision
 
 
--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -26,7 +26,7 @@
         }
 
     async def put_route(self, cluster: _cluster.Cluster, name: str) -> int:
-        result = await cluster.operator.put([_case.make_route(name)])
+        result = await cluster.operator.put_rows([_case.make_route(name)])
         self.assertIsNone(result.kind, result.problems)
         return result.revision
 
--- a/tests/integration/test_entries.py
+++ b/tests/integration/test_entries.py
@@ -139,8 +139,8 @@
         cluster = run.cluster
         cluster.processes['e-ost-0'].kill()
         for number in range(200):
-            await run.put(_case.make_route(f'route-{number}'))
-        await run.put(_case.make_route('route-0', retired=True))
+            await run.put_rows(_case.make_route(f'route-{number}'))
+        await run.put_rows(_case.make_route('route-0', retired=True))
         cluster.processes['e-ost-0'].start()
         await self.wait_kind(cluster, 'e-ost-0', '', 10.0, 'route-199')
         reply = await self.ask(cluster, 'e-ost-0', 'route-0')
@@ -160,7 +160,7 @@
         await _run.wait_until_offset(run, 0.5)
         start = time.monotonic()
         await cluster.isolate({'e-ost-0'}, incoming, outgoing)
-        await run.put(_case.make_route('other', retired=True))
+        await run.put_rows(_case.make_route('other', retired=True))
         await self.wait_kind(
             cluster, 'e-ost-0', 'config_stale', CONFIG_LEASE_S + MARGIN_S
         )
@@ -291,7 +291,7 @@
         await self.check_rpc(cluster)
         self.assertEqual(before, len(cluster.read_runs()))
         self.assertEqual(200, (await self.ask(cluster, 'e-ost-0')).status)
-        await run.put(_case.make_route('after'))
+        await run.put_rows(_case.make_route('after'))
 
     async def test_unsupported_version_is_refused(self) -> None:
         run = await self.start_run(
@@ -347,7 +347,7 @@
         run = await self.start_run(_case.make_plan(once=False))
         taken = []
         for number in range(20):
-            result = await run.put(_case.make_route(f'route-{number}'))
+            result = await run.put_rows(_case.make_route(f'route-{number}'))
             taken.append(await run.cluster.wait_in_force(result.revision, 5.0))
         self.assertLess(sorted(taken)[-1], 1.0)
 
@@ -358,7 +358,7 @@
         run.start_load('ost', ROUTES[:1], [(40.0, 9.0)])
         await _run.wait_until_offset(run, 2.5)
         route = _case.make_route(_case.POOL, retired=True)
-        await run.put(route)
+        await run.put_rows(route)
         await run.wait_loads(9.0)
         history = self.check(run, least_good=30)
         late = [call for call in history.calls if call.status == 410]
