--- a/fulmarseam/bench/_cluster.py
+++ b/fulmarseam/bench/_cluster.py
@@ -371,7 +371,7 @@
         action = standin.Action.CUT if cut else standin.Action.HOLD
         await self.links.command(action, sides)
 
-    async def separate(self, names: set[str], others: set[str]) -> None:
+    async def partition(self, names: set[str], others: set[str]) -> None:
         """Hold all bytes between two sets of nodes."""
         sides = self.links.find_sides(names.__contains__, others.__contains__)
         await self.links.command(standin.Action.HOLD, sides)
