--- a/fulmarseam/bench/_operator.py
+++ b/fulmarseam/bench/_operator.py
@@ -125,7 +125,7 @@
         """Return the entries and targets that the leader knows."""
         return await self.ask_leader(wire.FleetRequest(), wire.FleetResponse)
 
-    async def put(self, rows: Sequence[wire.Row]) -> wire.EditResult:
+    async def put_rows(self, rows: Sequence[wire.Row]) -> wire.EditResult:
         """Set rows in one edit, sent until its result is known."""
         edit = await self.make_edit(rows)
         return await self.ask_leader(edit, wire.EditResult)
--- a/fulmarseam/bench/_run.py
+++ b/fulmarseam/bench/_run.py
@@ -178,7 +178,7 @@
                     f'{name} failed: {process.read_output()}',
                 )
 
-    async def put(self, *rows: wire.Row) -> wire.EditResult:
+    async def put_rows(self, *rows: wire.Row) -> wire.EditResult:
         """Make an edit that must be accepted, and note what it promises."""
         result = await self.cluster.operator.put_rows(rows)
         if result.kind is not None:
@@ -205,7 +205,7 @@
 
     async def drain_target(self, name: str) -> None:
         """Announce a drain of a target that starts now."""
-        await self.put(
+        await self.put_rows(
             wire.Drain(
                 name=f'drain-{name}',
                 scope=wire.DrainScope.TARGET,
