--- a/fulmarseam/bench/__init__.py
+++ b/fulmarseam/bench/__init__.py
@@ -13,7 +13,7 @@
 DEMO = 'demo'
 ALL = 'all'
 SHOWN_VIOLATIONS = 10
-NAMES = (DEMO, ALL, *_scenarios.SCENARIOS, *capacity.NAMES)
+SCENARIO_NAMES = (DEMO, ALL, *_scenarios.SCENARIOS, *capacity.SCENARIO_NAMES)
 POLICIES = (_run.OURS, 'random', 'least-outstanding')
 
 
@@ -27,7 +27,7 @@
     """
     if name == DEMO:
         return await _demo.run_demo()
-    if name in capacity.NAMES:
+    if name in capacity.SCENARIO_NAMES:
         await capacity.run_scenario(name)
         return 0
     names = list(_scenarios.SCENARIOS) if name == ALL else [name]
@@ -60,4 +60,4 @@
     return figures
 
 
-__all__ = ['ALL', 'DEMO', 'NAMES', 'POLICIES', 'run_scenarios']
+__all__ = ['ALL', 'DEMO', 'SCENARIO_NAMES', 'POLICIES', 'run_scenarios']
--- a/fulmarseam/bench/capacity/__init__.py
+++ b/fulmarseam/bench/capacity/__init__.py
@@ -2,8 +2,8 @@
 
 from fulmarseam.bench.capacity._blocks import measure_blocks
 from fulmarseam.bench.capacity._page import make_tables
-from fulmarseam.bench.capacity._scenarios import NAMES
 from fulmarseam.bench.capacity._scenarios import run_scenario
+from fulmarseam.bench.capacity._scenarios import SCENARIO_NAMES
 from fulmarseam.bench.capacity._slopes import fit_line
 from fulmarseam.bench.capacity._slopes import Line
 from fulmarseam.bench.capacity._slopes import Point
@@ -13,7 +13,7 @@
 
 __all__ = [
     'Line',
-    'NAMES',
+    'SCENARIO_NAMES',
     'Point',
     'Series',
     'fit_line',
--- a/fulmarseam/bench/capacity/_scenarios.py
+++ b/fulmarseam/bench/capacity/_scenarios.py
@@ -46,7 +46,7 @@
     'capacity-replay': _changes.measure_replay,
 }
 PAGE_SCENARIO = 'capacity-page'
-NAMES = (*MEASUREMENTS, PAGE_SCENARIO)
+SCENARIO_NAMES = (*MEASUREMENTS, PAGE_SCENARIO)
 
 
 async def run_scenario(name: str) -> None:
--- a/fulmarseam/commands/bench.py
+++ b/fulmarseam/commands/bench.py
@@ -10,7 +10,7 @@
 from fulmarseam.commands import _launcher
 
 _SCENARIO = flags.DEFINE_enum(
-    'scenario', bench.DEMO, list(bench.NAMES), 'The scenario to run.'
+    'scenario', bench.DEMO, list(bench.SCENARIO_NAMES), 'The scenario to run.'
 )
 _POLICY = flags.DEFINE_enum(
     'policy',
