--- a/fulmarseam/bench/__init__.py
+++ b/fulmarseam/bench/__init__.py
@@ -14,7 +14,7 @@
 ALL = 'all'
 SHOWN_VIOLATIONS = 10
 SCENARIO_NAMES = (DEMO, ALL, *_scenarios.SCENARIOS, *capacity.SCENARIO_NAMES)
-POLICIES = (_run.OURS, 'random', 'least-outstanding')
+POLICIES = (_run.SYSTEM_POLICY, 'random', 'least-outstanding')
 
 
 async def run_scenarios(
@@ -35,7 +35,7 @@
     for scenario in names:
         for policy in policies:
             figures = await _run_scenario(scenario, policy, plots)
-            if policy == _run.OURS:
+            if policy == _run.SYSTEM_POLICY:
                 broken += figures.broken_promises
     return broken
 
--- a/fulmarseam/bench/_checker.py
+++ b/fulmarseam/bench/_checker.py
@@ -1,7 +1,8 @@
-"""Finds broken promises in what targets and callers recorded.
+"""Checks the history of a run for violations of the promises P1 to P8.
 
-Nothing that an entry or a control member says is used. The promises P1 to P8
-are those of the design page.
+The checks use the journals of targets and callers and the actions of the
+operator, but nothing that entries or control members report. The design page
+defines the promises.
 """
 
 import bisect
@@ -19,24 +20,24 @@
 LEAVE_BOUND_S = 3.0
 CONFIG_BOUND_S = 5.0
 LOOKUP_LIFETIME_S = 5.0
-# A cancelled run and its successor reach the target on two connections, in
-# any order.
+# The cancellation of a request and the next request for its slot use two
+# connections and may reach the target in either order.
 CANCEL_RACE_S = 0.05
 LINK_WINDOW_S = 1.0
-_ARRIVALS = (standin.RunEvent.START, standin.RunEvent.WAIT)
-# These requests break their own connections.
-_BREAKING_ACTIONS = ('crash', 'truncate')
+_ARRIVAL_EVENTS = (standin.RunEvent.START, standin.RunEvent.WAIT)
+# Requests with these actions make the target break their connection.
+_CONNECTION_BREAKING_ACTIONS = ('crash', 'truncate')
 
 
 class Violation(NamedTuple):
-    """One broken promise."""
+    """A violation of one promise."""
 
     promise: str
     detail: str
 
 
 class GracefulStop(NamedTuple):
-    """An entry was told to stop at `begin` and had ended at `end`."""
+    """A graceful stop of an entry, from `begin` until its exit at `end`."""
 
     address: str
     begin: float
@@ -44,21 +45,21 @@
 
 
 class Retirement(NamedTuple):
-    """A route was retired; the edit was accepted at `accepted`."""
+    """The retirement of a route by an edit that was accepted."""
 
     route: str
     accepted: float
 
 
 class TargetDrain(NamedTuple):
-    """A drain of a target was in force in the tables at `accepted`."""
+    """A drain of a target that was active in the tables at `accepted`."""
 
     target: str
     accepted: float
 
 
 class ShiftCap(NamedTuple):
-    """A shift between two regions was active within a span of time."""
+    """The cap of a shift that was active from `begin` to `end`."""
 
     pool: str
     from_region: str
@@ -70,11 +71,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class History:
-    """What was recorded in one run.
+    """The journals and the operator's actions of one run.
 
     `entry_regions` maps the addresses at which callers reach entries to
-    their regions, `route_pools` routes to pools and `link_bytes_per_s`
-    directions "FROM>TO" to their limits.
+    regions, `route_pools` maps routes to pools, and `link_bytes_per_s` maps
+    directions "FROM>TO" between regions to byte rate limits.
     """
 
     calls: Sequence[standin.CallRecord]
@@ -91,28 +92,28 @@
 
 
 def find_violations(history: History) -> list[Violation]:
-    """Return all broken promises of a run."""
+    """Return all violations in the history of a run."""
     runs = sorted(history.runs, key=lambda run: run.time)
     starts: dict[str, list[standin.RunRecord]] = collections.defaultdict(list)
     for run in runs:
         if run.event is standin.RunEvent.START:
             starts[run.mark].append(run)
     calls = {call.mark: call for call in history.calls}
-    found: list[Violation] = []
-    found.extend(_check_shifts(history, calls, runs))
-    found.extend(_check_slots(runs))
-    found.extend(_check_links(history, calls, runs))
-    found.extend(_check_calls(history.calls, starts))
-    found.extend(_check_leaves(runs))
-    found.extend(_check_stops(history))
-    found.extend(_check_configuration(history, calls, runs))
-    return found
+    violations: list[Violation] = []
+    violations.extend(_check_shifts(history, calls, runs))
+    violations.extend(_check_slots(runs))
+    violations.extend(_check_links(history, calls, runs))
+    violations.extend(_check_calls(history.calls, starts))
+    violations.extend(_check_leaves(runs))
+    violations.extend(_check_stops(history))
+    violations.extend(_check_configuration(history, calls, runs))
+    return violations
 
 
 def find_entry_region(
     history: History, call: standin.CallRecord | None
 ) -> str | None:
-    """Return the region of the entry that ran the call."""
+    """Return the region of the entry that got the last attempt of a call."""
     if call is None or not call.attempts:
         return None
     return history.entry_regions.get(call.attempts[-1].entry)
@@ -136,7 +137,10 @@
         for run in runs:
             if not shift.begin <= run.time <= shift.end:
                 continue
-            if run.event not in _ARRIVALS or run.region != shift.to_region:
+            if (
+                run.event not in _ARRIVAL_EVENTS
+                or run.region != shift.to_region
+            ):
                 continue
             region = find_entry_region(history, calls.get(run.mark))
             if run.pool != shift.pool or region != shift.from_region:
@@ -146,50 +150,59 @@
             if moved > shift.cap_percent / 100 * arrived:
                 yield Violation(
                     'P1',
-                    f'{moved} of {arrived} moved to {shift.to_region}, '
-                    f'over {shift.cap_percent}%',
+                    f'{moved} of {arrived} requests moved to '
+                    f'{shift.to_region}, expected at most '
+                    f'{shift.cap_percent}%',
                 )
 
 
 def _check_slots(runs: Sequence[standin.RunRecord]) -> Iterator[Violation]:
-    """Compare the requests present in each region with its slots."""
-    present: dict[tuple[str, str], int] = {}
+    """Check that no pool has more requests than slots in a region.
+
+    Requests that are cancelled within `CANCEL_RACE_S` do not count.
+    """
+    in_flight: dict[tuple[str, str], int] = {}
     slots: dict[tuple[str, str], int] = {}
     groups: dict[str, tuple[str, str]] = {}
-    cancelled: dict[tuple[str, str], list[float]] = collections.defaultdict(
+    cancel_times: dict[tuple[str, str], list[float]] = collections.defaultdict(
         list
     )
     for run in runs:
-        gone = run.event is standin.RunEvent.GONE
-        if gone or run.result is standin.RunResult.CANCELLED:
-            cancelled[run.region, run.pool].append(run.time)
-    busy: dict[str, int] = {}
+        is_gone = run.event is standin.RunEvent.GONE
+        if is_gone or run.result is standin.RunResult.CANCELLED:
+            cancel_times[run.region, run.pool].append(run.time)
+    target_in_flight: dict[str, int] = {}
     for run in runs:
         group = (run.region, run.pool)
         if run.target not in groups:
             groups[run.target] = group
             slots[group] = slots.get(group, 0) + run.slots
-        leaves = run.event in (standin.RunEvent.END, standin.RunEvent.GONE)
-        now_busy = run.busy - 1 if leaves else run.busy
-        change = now_busy - busy.get(run.target, 0)
-        busy[run.target] = now_busy
-        present[group] = present.get(group, 0) + change
-        if run.event not in _ARRIVALS or present[group] <= slots[group]:
+        is_end = run.event in (standin.RunEvent.END, standin.RunEvent.GONE)
+        remaining = run.busy - 1 if is_end else run.busy
+        change = remaining - target_in_flight.get(run.target, 0)
+        target_in_flight[run.target] = remaining
+        in_flight[group] = in_flight.get(group, 0) + change
+        if (
+            run.event not in _ARRIVAL_EVENTS
+            or in_flight[group] <= slots[group]
+        ):
             continue
-        ended = cancelled[group]
-        first = bisect.bisect_left(ended, run.time)
-        last = bisect.bisect_right(ended, run.time + CANCEL_RACE_S)
-        if present[group] - (last - first) > slots[group]:
+        cancelled = cancel_times[group]
+        first = bisect.bisect_left(cancelled, run.time)
+        last = bisect.bisect_right(cancelled, run.time + CANCEL_RACE_S)
+        if in_flight[group] - (last - first) > slots[group]:
             yield Violation(
                 'P2',
-                f'{present[group]} requests on {slots[group]} slots of pool '
+                f'{in_flight[group]} requests on {slots[group]} slots of pool '
                 f'{run.pool} in {run.region}',
             )
 
 
-def count_over_slots(runs: Iterable[standin.RunRecord]) -> int:
-    """Return the arrivals at a single target over its slots."""
-    return sum(run.event in _ARRIVALS and run.busy > run.slots for run in runs)
+def count_slot_overruns(runs: Iterable[standin.RunRecord]) -> int:
+    """Count the arrivals that took a single target over its slots."""
+    return sum(
+        run.event in _ARRIVAL_EVENTS and run.busy > run.slots for run in runs
+    )
 
 
 def _check_links(
@@ -197,7 +210,7 @@
     calls: Mapping[str, standin.CallRecord],
     runs: Sequence[standin.RunRecord],
 ) -> Iterator[Violation]:
-    windows: collections.Counter[tuple[str, int]] = collections.Counter()
+    window_bytes: collections.Counter[tuple[str, int]] = collections.Counter()
     for run in runs:
         if run.event is not standin.RunEvent.END:
             continue
@@ -205,13 +218,15 @@
         if region is None or region == run.region:
             continue
         window = int(run.time / LINK_WINDOW_S)
-        windows[f'{region}>{run.region}', window] += run.received_bytes
-        windows[f'{run.region}>{region}', window] += run.sent_bytes
-    for (link, _), size in windows.items():
+        window_bytes[f'{region}>{run.region}', window] += run.received_bytes
+        window_bytes[f'{run.region}>{region}', window] += run.sent_bytes
+    for (link, _), size in window_bytes.items():
         limit = history.link_bytes_per_s.get(link)
         if limit is not None and size > limit * LINK_WINDOW_S:
             yield Violation(
-                'P2', f'{size} bytes over {link} in one window, limit {limit}'
+                'P2',
+                f'{size} bytes over link {link} in one window, '
+                f'limit {limit} bytes/s',
             )
 
 
@@ -220,68 +235,92 @@
     starts: Mapping[str, Sequence[standin.RunRecord]],
 ) -> Iterator[Violation]:
     for call in calls:
-        count = len(starts.get(call.mark, ()))
+        run_count = len(starts.get(call.mark, ()))
         outcome = errors.Outcome(call.outcome)
-        if outcome is errors.Outcome.NOT_RUN and count:
-            yield Violation('P4', f'{call.mark} not run, but ran {count} x')
-        if call.once and count > 1:
-            yield Violation('P5', f'{call.mark} ran {count} x')
+        if outcome is errors.Outcome.NOT_RUN and run_count:
+            yield Violation(
+                'P4',
+                f'call {call.mark} has outcome not-run, '
+                f'but ran {run_count} times',
+            )
+        if call.once and run_count > 1:
+            yield Violation(
+                'P5',
+                f'call {call.mark} ran {run_count} times, expected at most 1',
+            )
         if outcome is errors.Outcome.ANSWERED and call.status == 200:
-            yield from _check_answer(call, count)
+            yield from _check_response(call, run_count)
 
 
-def _check_answer(call: standin.CallRecord, count: int) -> Iterator[Violation]:
+def _check_response(
+    call: standin.CallRecord, run_count: int
+) -> Iterator[Violation]:
     if call.mark_seen != call.mark:
         yield Violation(
-            'P3', f'{call.mark} got the answer to {call.mark_seen!r}'
+            'P3', f'call {call.mark} got the response to {call.mark_seen!r}'
         )
-    if not count:
-        yield Violation('P3', f'{call.mark} answered, but never ran')
+    if not run_count:
+        yield Violation('P3', f'call {call.mark} was answered, but never ran')
     if call.body_bytes != call.body_expected:
         yield Violation(
             'P3',
-            f'{call.mark} got {call.body_bytes} of {call.body_expected} bytes',
+            f'call {call.mark} got {call.body_bytes} of '
+            f'{call.body_expected} body bytes',
         )
     if call.action == 'truncate':
-        yield Violation('P3', f'{call.mark} truncated, but seen as whole')
+        yield Violation(
+            'P3',
+            f'call {call.mark} has a truncated response that the caller '
+            'took as complete',
+        )
 
 
 def _check_leaves(runs: Sequence[standin.RunRecord]) -> Iterator[Violation]:
-    """Look for new work after a target announced that it leaves."""
-    leaving: dict[tuple[str, int], float] = {}
+    """Check that a target gets no new requests after it announced to leave.
+
+    Requests within `LEAVE_BOUND_S` of the announcement are allowed.
+    """
+    leaving_since: dict[tuple[str, int], float] = {}
     arrived: set[tuple[str, int, str]] = set()
     for run in runs:
         key = (run.target, run.incarnation)
         if run.event is standin.RunEvent.LEAVING:
-            leaving[key] = run.time
-        if run.event not in _ARRIVALS or (*key, run.mark) in arrived:
+            leaving_since[key] = run.time
+        if run.event not in _ARRIVAL_EVENTS or (*key, run.mark) in arrived:
             continue
         arrived.add((*key, run.mark))
-        since = run.time - leaving.get(key, run.time)
-        if since > LEAVE_BOUND_S:
+        delay_s = run.time - leaving_since.get(key, run.time)
+        if delay_s > LEAVE_BOUND_S:
             yield Violation(
-                'P6', f'{run.target} got work {since:.3f} s after its leave'
+                'P6',
+                f'target {run.target} got a request {delay_s:.3f} s after '
+                'it announced to leave',
             )
 
 
 def _check_stops(history: History) -> Iterator[Violation]:
     for stop in history.stops:
         for call in history.calls:
-            if call.action in _BREAKING_ACTIONS:
+            if call.action in _CONNECTION_BREAKING_ACTIONS:
                 continue
             for attempt in call.attempts:
-                if attempt.entry == stop.address and _is_cut(attempt, stop):
+                if attempt.entry == stop.address and _is_cut_off(
+                    attempt, stop
+                ):
                     yield Violation(
-                        'P7', f'{call.mark} cut by a stop: {attempt.detail}'
+                        'P7',
+                        f'call {call.mark} failed because of a graceful '
+                        f'stop: {attempt.detail}',
                     )
 
 
-def _is_cut(attempt: standin.AttemptRecord, stop: GracefulStop) -> bool:
+def _is_cut_off(attempt: standin.AttemptRecord, stop: GracefulStop) -> bool:
     if attempt.status:
         return False
     if not attempt.opened:
-        age = attempt.sent - stop.begin
-        return 0 <= age <= LOOKUP_LIFETIME_S
+        # Callers may use a look-up answer from before the stop this long.
+        delay_s = attempt.sent - stop.begin
+        return 0 <= delay_s <= LOOKUP_LIFETIME_S
     return attempt.sent <= stop.end and attempt.ended >= stop.begin
 
 
@@ -293,12 +332,14 @@
     retired = {item.route: item.accepted for item in history.retirements}
     drained = {item.target: item.accepted for item in history.drains}
     for run in runs:
-        if run.event not in _ARRIVALS:
+        if run.event not in _ARRIVAL_EVENTS:
             continue
         call = calls.get(run.mark)
         accepted = retired.get(call.route) if call else None
         if accepted is not None and run.time > accepted + CONFIG_BOUND_S:
-            yield Violation('P8', f'{run.mark} ran on a retired route')
+            yield Violation('P8', f'call {run.mark} ran on a retired route')
         accepted = drained.get(run.target)
         if accepted is not None and run.time > accepted + CONFIG_BOUND_S:
-            yield Violation('P8', f'{run.mark} ran on drained {run.target}')
+            yield Violation(
+                'P8', f'call {run.mark} ran on drained target {run.target}'
+            )
--- a/fulmarseam/bench/_cluster.py
+++ b/fulmarseam/bench/_cluster.py
@@ -1,4 +1,4 @@
-"""A group of real processes on loopback, with faults on demand."""
+"""A cluster of real processes on loopback, with fault injection."""
 
 import contextlib
 import json
@@ -23,11 +23,11 @@
 from fulmarseam.bench import _waiting
 
 START_TIMEOUT_S = 15.0
-# Set to keep settings, logs and journals of a run.
-KEEP_VARIABLE = 'FULMARSEAM_KEEP_RUNS'
+# Environment variable; if set, the settings, logs and journals of a run stay.
+KEEP_RUNS_VARIABLE = 'FULMARSEAM_KEEP_RUNS'
 
 
-class Addresses:
+class NodeAddresses:
     """The addresses that a node listens on."""
 
     def __init__(self) -> None:
@@ -37,10 +37,10 @@
 
 
 class Cluster:
-    """Runs a planned group until the context ends.
+    """Runs the processes of a plan until the context exits.
 
-    `processes` holds all processes by the names of the plan, and "proxy".
-    All of them are ended on exit, also after a failure::
+    `processes` maps the names of the plan, and "proxy", to the processes.
+    All of them are killed on exit, also after a failure::
 
         async with Cluster(make_plan()) as cluster:
             cluster.processes['c0'].kill()
@@ -50,7 +50,7 @@
         self.plan = plan
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix='fulmarseam-'))
         self.links = _links.Links(plan.faulty, plan.proxy_requests)
-        self.addresses = {node.name: Addresses() for node in plan.nodes}
+        self.addresses = {node.name: NodeAddresses() for node in plan.nodes}
         self.regions = {node.name: node.region for node in plan.nodes}
         self.processes: dict[str, _processes.Process] = {}
         self.operator = _operator.Operator(
@@ -73,7 +73,7 @@
     async def __aexit__(self, *exc_info: object) -> None:
         _processes.end_processes(self.processes.values())
         await self.operator.__aexit__()
-        if KEEP_VARIABLE not in os.environ:
+        if KEEP_RUNS_VARIABLE not in os.environ:
             shutil.rmtree(self.folder, ignore_errors=True)
 
     def _write_settings(self) -> None:
@@ -94,27 +94,31 @@
             self.add_process('faultproxy', 'proxy', options)
 
     def add_process(self, program: str, name: str, options: Any) -> None:
-        """Write the settings of a further process."""
+        """Write the settings of a process, without starting it."""
         self.processes[name] = _processes.Process(
             program, name, options, self.folder
         )
 
     def _find_delay_ms(self, source: str, destination: str) -> float:
-        near = self.regions.get(source)
-        far = self.regions.get(destination)
-        if near is None or far is None or near == far:
+        source_region = self.regions.get(source)
+        destination_region = self.regions.get(destination)
+        if (
+            source_region is None
+            or destination_region is None
+            or source_region == destination_region
+        ):
             return 0.0
         return self.plan.delay_ms
 
     def _make_control_settings(
         self, node: _plan.ControlPlan
     ) -> dict[str, Any]:
-        own = self.addresses[node.name]
+        addresses = self.addresses[node.name]
         members = {
             other.name: {
-                'address': own.listen
+                'address': addresses.listen
                 if other is node
-                else self.links.dial(
+                else self.links.resolve_address(
                     node.name, other.name, self.addresses[other.name].listen
                 ),
                 'region': other.region,
@@ -126,33 +130,33 @@
             'region': node.region,
             'failure_domain': f'{node.region}-0',
             'data_dir': str(self.folder / f'{node.name}-data'),
-            'listen': own.listen,
-            'api': own.api,
+            'listen': addresses.listen,
+            'api': addresses.api,
             'members': members,
             **self.plan.control_options,
         }
 
     def add_control(self, name: str, region: str) -> None:
-        """Write the settings of a further member that joins the group."""
+        """Write the settings of a new member that joins the control group."""
         node = _plan.ControlPlan(name, region)
-        self.addresses[name] = Addresses()
+        self.addresses[name] = NodeAddresses()
         self.regions[name] = region
         options = self._make_control_settings(node)
         self.add_process('control', name, {**options, 'join': True})
         self.operator.add_member(name, self.addresses[name].listen)
 
     def _make_entry_settings(self, node: _plan.EntryPlan) -> dict[str, Any]:
-        own = self.addresses[node.name]
+        addresses = self.addresses[node.name]
         options: dict[str, Any] = {
             'entry_id': node.name,
             'region': node.region,
             'failure_domain': node.domain,
-            'listen': own.listen,
-            'api': own.api,
-            'rpc': own.rpc,
+            'listen': addresses.listen,
+            'api': addresses.api,
+            'rpc': addresses.rpc,
             'advertise_listen': self.find_entry_address(node.name),
             'control': {
-                control.name: self.links.dial(
+                control.name: self.links.resolve_address(
                     node.name,
                     control.name,
                     self.addresses[control.name].listen,
@@ -160,7 +164,7 @@
                 for control in self.plan.controls
             },
             'peer_overrides': {
-                other.name: self.links.dial(
+                other.name: self.links.resolve_address(
                     node.name, other.name, self.addresses[other.name].rpc
                 )
                 for other in self.plan.entries
@@ -174,19 +178,22 @@
 
     def make_target_settings(self, node: _plan.TargetPlan) -> dict[str, Any]:
         """Return the settings of a target."""
-        own = self.addresses[node.name]
+        addresses = self.addresses[node.name]
         return {
             'target_id': node.name,
             'pool': node.pool,
             'region': node.region,
             'failure_domain': node.domain,
             'slots': node.slots,
-            'listen': own.listen,
-            'advertise': self.links.dial(
-                _links.ENTRIES, node.name, own.listen, _links.REQUEST_PORT
+            'listen': addresses.listen,
+            'advertise': self.links.resolve_address(
+                _links.ENTRIES,
+                node.name,
+                addresses.listen,
+                _links.REQUEST_PORT,
             ),
             'entries': [
-                self.links.dial(
+                self.links.resolve_address(
                     node.name,
                     entry.name,
                     self.addresses[entry.name].api,
@@ -203,8 +210,8 @@
     ) -> list[_plan.EntryPlan]:
         """Return the entries in the order in which a target tries them.
 
-        Those of its region come first, and the targets of a region start
-        with different ones, so that no entry takes most announcements.
+        Entries of its region come first. The targets of a region start at
+        different entries, to spread the announcements.
         """
         position = list(self.plan.targets).index(target)
         entries = list(self.plan.entries)
@@ -213,12 +220,12 @@
         return sorted(rotated, key=lambda entry: entry.region != target.region)
 
     def find_journal(self, name: str) -> pathlib.Path:
-        """Return the journal file of a target or a load."""
+        """Return the path of the journal of a target or a load process."""
         return self.folder / f'{name}.journal'
 
     def find_entry_address(self, name: str) -> str:
         """Return the address at which callers reach an entry."""
-        return self.links.dial(
+        return self.links.resolve_address(
             _links.CALLERS,
             name,
             self.addresses[name].listen,
@@ -226,7 +233,7 @@
         )
 
     def list_apis(self, region: str | None = None) -> list[str]:
-        """Return the api addresses of the entries, or those of a region."""
+        """Return the api addresses of all entries or those of one region."""
         return [
             self.addresses[entry.name].api
             for entry in self.plan.entries
@@ -257,25 +264,25 @@
         return leader or await self.wait_leader(timeout_s)
 
     async def wait_ready(self, timeout_s: float) -> float:
-        """Wait until all running entries and targets are known and current.
+        """Wait until all running entries are up to date and targets ready.
 
-        Returns the seconds that took.
+        Returns the seconds waited.
         """
 
         async def is_ready() -> bool:
-            entries, targets = await self._read_ready()
-            return entries >= self._list_running(
+            entries, targets = await self._read_ready_names()
+            return entries >= self._list_running_names(
                 self.plan.entries
-            ) and targets >= self._list_running(self.plan.targets)
+            ) and targets >= self._list_running_names(self.plan.targets)
 
         return await _waiting.wait_until(
             is_ready, timeout_s, 'entries and targets ready', 0.05
         )
 
-    def _list_running(self, nodes: Any) -> set[str]:
+    def _list_running_names(self, nodes: Any) -> set[str]:
         return {node.name for node in nodes if self.processes[node.name].pid}
 
-    async def _read_ready(self) -> tuple[set[str], set[str]]:
+    async def _read_ready_names(self) -> tuple[set[str], set[str]]:
         fleet = await self.operator.read_fleet()
         entries = {
             str(entry.row.info.entry)
@@ -290,20 +297,21 @@
         return entries, targets
 
     async def wait_in_force(self, revision: int, timeout_s: float) -> float:
-        """Wait until all running entries have a revision in force.
+        """Wait until a revision is in force on all running entries.
 
-        The leader's view lags by up to one sync. Returns the seconds.
+        The leader learns of it with the next sync of an entry, so the result
+        is late by up to one sync. Returns the seconds waited.
         """
-        running = self._list_running(self.plan.entries)
+        running = self._list_running_names(self.plan.entries)
 
         async def is_in_force() -> bool:
             fleet = await self.operator.read_fleet()
-            have = {
+            up_to_date = {
                 str(entry.row.info.entry)
                 for entry in fleet.entries
                 if entry.revision >= revision
             }
-            return have >= running
+            return up_to_date >= running
 
         return await _waiting.wait_until(
             is_in_force, timeout_s, f'revision {revision} in force'
@@ -312,7 +320,7 @@
     async def command_target(
         self, name: str, command: standin.TargetCommand
     ) -> None:
-        """Change the behaviour of a target."""
+        """Send a command that changes how a target behaves."""
         http_client = client.HttpClient()
         with contextlib.closing(http_client):
             request = client.Request(
@@ -338,11 +346,11 @@
         return {name: float(value) for name, _, value in pairs}
 
     async def stop(self, name: str, timeout_s: float = 30.0) -> float:
-        """Stop a process gracefully; return the seconds until its end."""
+        """Stop a process gracefully; return the seconds until it exited."""
         process = self.processes[name]
         process.signal(signal.SIGTERM)
         return await _waiting.wait_until(
-            lambda: process.exit_code is not None, timeout_s, f'{name} ended'
+            lambda: process.exit_code is not None, timeout_s, f'{name} exited'
         )
 
     def wipe_data_dir(self, name: str) -> None:
@@ -358,30 +366,38 @@
         callers: bool = False,
         cut: bool = False,
     ) -> None:
-        """Separate nodes from all others, silently unless `cut`.
+        """Partition nodes from all others.
 
-        Callers still reach entries unless `callers`.
+        Bytes are held back without closing connections; with `cut`
+        connections are reset. `incoming` and `outgoing` select the
+        directions. Callers still reach entries unless `callers` is set.
         """
         outside = {*self.addresses} - names
         if callers:
             outside.add(_links.CALLERS)
-        sides = self.links.find_sides(
+        links = self.links.find_links_between(
             names.__contains__, outside.__contains__, incoming, outgoing
         )
         action = standin.Action.CUT if cut else standin.Action.HOLD
-        await self.links.command(action, sides)
+        await self.links.send_command(action, links)
 
     async def partition(self, names: set[str], others: set[str]) -> None:
-        """Hold all bytes between two sets of nodes."""
-        sides = self.links.find_sides(names.__contains__, others.__contains__)
-        await self.links.command(standin.Action.HOLD, sides)
+        """Hold back all bytes between two sets of nodes."""
+        links = self.links.find_links_between(
+            names.__contains__, others.__contains__
+        )
+        await self.links.send_command(standin.Action.HOLD, links)
 
     def list_region(self, region: str) -> set[str]:
         """Return the names of all nodes of a region."""
-        return {name for name, home in self.regions.items() if home == region}
+        return {
+            name
+            for name, node_region in self.regions.items()
+            if node_region == region
+        }
 
     def read_runs(self) -> list[standin.RunRecord]:
-        """Return the journals of all targets."""
+        """Return the records in the journals of all targets."""
         runs: list[standin.RunRecord] = []
         for target in self.plan.targets:
             path = self.find_journal(target.name)
@@ -390,11 +406,11 @@
         return runs
 
     def read_calls(self, name: str) -> list[standin.CallRecord]:
-        """Return the journal of a load."""
+        """Return the records in the journal of a load process."""
         path = self.find_journal(name)
         return list(standin.read_journal(str(path), standin.CallRecord))
 
     def save(self, name: str, value: object) -> None:
-        """Write a note of the run beside its logs."""
+        """Write a value as JSON into the folder of the run."""
         path = self.folder / name
         path.write_text(json.dumps(value, indent=1), encoding='utf-8')
--- a/fulmarseam/bench/_demo.py
+++ b/fulmarseam/bench/_demo.py
@@ -28,7 +28,9 @@
         latencies = _results.Latencies(calls)
         not_run = sum(call.outcome == 'not-run' for call in calls)
         unknown = sum(call.outcome == 'unknown' for call in calls)
-        figures = [latencies.read_ms(part) for part in (50, 99, 99.9)]
+        figures = [
+            latencies.get_percentile_ms(part) for part in (50, 99, 99.9)
+        ]
         print(
             f'{route:<20}{latencies.count:>8}{not_run:>9}{unknown:>9}'
             + ''.join(f'{figure:>9.1f}' for figure in figures)
@@ -87,7 +89,7 @@
         await run.wait_loads(LOAD_S)
         history = run.collect_history()
     print_table(history)
-    drains = _results.measure_drains(history.runs)
+    drains = _results.measure_drain_times(history.runs)
     print(f'drain_s={max(drains, default=0.0):.3f}')
     violations = _checker.find_violations(history)
     for violation in violations:
--- a/fulmarseam/bench/_links.py
+++ b/fulmarseam/bench/_links.py
@@ -1,4 +1,4 @@
-"""The links between the nodes of a group, through the fault proxy or not."""
+"""The links between the nodes of a cluster, direct or through a proxy."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -11,14 +11,17 @@
 from fulmarseam.bench import _processes
 
 COMMAND_TIMEOUT_S = 5.0
-# Names for the outside ends of links.
+# Ends of links that are not a single node.
 CALLERS = 'callers'
 ENTRIES = 'entries'
 REQUEST_PORT = 'http'
 
 
 class Link(NamedTuple):
-    """One way to dial a node. `source` dials `destination`."""
+    """A proxied way from `source` to an address of `destination`.
+
+    The proxy accepts connections at `listen` and forwards them to `to`.
+    """
 
     name: str
     source: str
@@ -27,30 +30,30 @@
     to: str
 
 
-class Side(NamedTuple):
-    """Links and the direction of them that a fault affects."""
+class DirectedLinks(NamedTuple):
+    """Links, with the direction in which a fault affects them."""
 
     links: Sequence[Link]
     direction: standin.Direction
 
 
 class Links:
-    """All links of a group.
+    """All links of a cluster.
 
-    Without `faulty` each link leads straight to its destination; without
-    `proxy_requests` those of callers' requests do.
+    Without `faulty` no link passes through the fault proxy. Without
+    `proxy_requests` the links of callers' requests bypass it.
     """
 
     def __init__(self, faulty: bool, proxy_requests: bool = True) -> None:
         self.faulty = faulty
         self._proxy_requests = proxy_requests
-        self.control = _processes.find_free_address()
+        self.proxy_control_address = _processes.find_free_address()
         self._links: dict[str, Link] = {}
 
-    def dial(
+    def resolve_address(
         self, source: str, destination: str, address: str, port: str = 'rpc'
     ) -> str:
-        """Return the address at which `source` reaches a node's address."""
+        """Return the address at which `source` reaches `address`."""
         if not self.faulty:
             return address
         if port == REQUEST_PORT and not self._proxy_requests:
@@ -75,19 +78,19 @@
             }
             for link in self._links.values()
         ]
-        return {'control': self.control, 'forwards': forwards}
+        return {'control': self.proxy_control_address, 'forwards': forwards}
 
-    def find_sides(
+    def find_links_between(
         self,
         is_inside: Callable[[str], bool],
         is_outside: Callable[[str], bool],
         incoming: bool = True,
         outgoing: bool = True,
-    ) -> list[Side]:
+    ) -> list[DirectedLinks]:
         """Return the links between two sets of nodes.
 
-        `incoming` and `outgoing` choose the bytes that flow to and from
-        the inside.
+        `incoming` selects the bytes that flow to the inside, `outgoing`
+        those that flow from it.
         """
         inward = [
             link
@@ -102,29 +105,32 @@
         there = (inward if incoming else []) + (outward if outgoing else [])
         back = (inward if outgoing else []) + (outward if incoming else [])
         return [
-            Side(there, standin.Direction.THERE),
-            Side(back, standin.Direction.BACK),
+            DirectedLinks(there, standin.Direction.THERE),
+            DirectedLinks(back, standin.Direction.BACK),
         ]
 
-    async def command(
-        self, action: standin.Action, sides: Sequence[Side], **more: Any
+    async def send_command(
+        self,
+        action: standin.Action,
+        targeted: Sequence[DirectedLinks],
+        **options: Any,
     ) -> None:
         """Apply a fault; raises `client.ExchangeError` on failure."""
-        assert self.faulty, 'faults need links through the proxy'
+        assert self.faulty, 'found a plan without faulty, expected faulty=True'
         http_client = client.HttpClient()
         try:
-            for side in sides:
+            for directed in targeted:
                 body = {
                     'action': action.value,
-                    'links': [link.name for link in side.links],
-                    'direction': side.direction.value,
-                    **more,
+                    'links': [link.name for link in directed.links],
+                    'direction': directed.direction.value,
+                    **options,
                 }
                 request = client.Request(
                     'POST', 'proxy', '/', {}, json.dumps(body).encode()
                 )
                 reply = await http_client.send(
-                    self.control, request, COMMAND_TIMEOUT_S
+                    self.proxy_control_address, request, COMMAND_TIMEOUT_S
                 )
                 if reply.status != 200:
                     raise client.ExchangeError(str(reply.body), True, True)
@@ -132,9 +138,15 @@
             http_client.close()
 
     async def heal(self, late: bool = True) -> None:
-        """End all faults; held bytes arrive late or are dropped."""
+        """End all faults.
+
+        Held bytes are delivered, or dropped with their connections reset
+        unless `late`.
+        """
         action = standin.Action.HEAL_RESET
         if late:
             action = standin.Action.HEAL_LATE
-        everything = Side(list(self._links.values()), standin.Direction.BOTH)
-        await self.command(action, [everything])
+        all_links = DirectedLinks(
+            list(self._links.values()), standin.Direction.BOTH
+        )
+        await self.send_command(action, [all_links])
--- a/fulmarseam/bench/_operator.py
+++ b/fulmarseam/bench/_operator.py
@@ -1,4 +1,4 @@
-"""Edits and questions to the control group, as an operator's tool asks."""
+"""Edits and queries of the control group over its rpc interface."""
 
 import asyncio
 from collections.abc import Mapping
@@ -14,9 +14,9 @@
 from fulmarseam import wire
 
 CALL_TIMEOUT_S = 1.0
-RETRY_S = 0.05
+RETRY_DELAY_S = 0.05
 
-_TABLES: dict[type[wire.Row], wire.TableName] = {
+_TABLE_NAMES: dict[type[wire.Row], wire.TableName] = {
     wire.Route: wire.TableName.ROUTES,
     wire.Pool: wire.TableName.POOLS,
     wire.Link: wire.TableName.LINKS,
@@ -30,7 +30,10 @@
 
 
 class Operator:
-    """Asks the members of a control group at their rpc addresses."""
+    """Sends edits and queries to the members of a control group.
+
+    `members` maps the names of the members to their rpc addresses.
+    """
 
     def __init__(self, members: Mapping[str, str]) -> None:
         self._clients = {
@@ -49,7 +52,7 @@
             client.close()
 
     def add_member(self, name: str, address: str) -> None:
-        """Ask a further member from now on."""
+        """Add a member to those that are asked."""
         self._clients[name] = transport.RpcClient(address)
         self._clients[name].open()
 
@@ -59,11 +62,17 @@
         message: wire.Message,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> wire.Message:
-        """Ask one member; raises `errors.TransportError` without answer."""
+        """Send a message to one member and return its answer.
+
+        Raises `errors.TransportError` when there is no answer.
+        """
         return await self._clients[member].call(message, timeout_s)
 
     async def read_status(self, member: str) -> wire.StatusResponse | None:
-        """Return how a member sees the group, if it answers."""
+        """Return the status of the group as seen by a member.
+
+        Returns `None` when the member does not answer.
+        """
         try:
             answer = await self.ask(member, wire.StatusRequest(), 0.5)
         except errors.TransportError:
@@ -73,21 +82,21 @@
     async def find_leader(self, excluded: str | None = None) -> str | None:
         """Return the member that leads with a valid leadership age.
 
-        With several such members, as between two leaders, the one of the
-        highest term counts. The member `excluded` is not asked.
+        If several members do, as during a change of leaders, the one with
+        the highest term is returned. The member `excluded` is not asked.
         """
-        asked = [name for name in self._clients if name != excluded]
-        answers = await asyncio.gather(*map(self.read_status, asked))
-        leading = [
+        members = [name for name in self._clients if name != excluded]
+        answers = await asyncio.gather(*map(self.read_status, members))
+        leaders = [
             answer
             for answer in answers
             if answer is not None
             and answer.leader == answer.member
             and answer.leadership_age_ms is not None
         ]
-        if not leading:
+        if not leaders:
             return None
-        return max(leading, key=lambda answer: answer.term).member
+        return max(leaders, key=lambda answer: answer.term).member
 
     async def ask_leader(
         self,
@@ -95,30 +104,32 @@
         expected: type[MessageT],
         timeout_s: float = 10.0,
     ) -> MessageT:
-        """Ask whichever member leads until it answers as expected.
+        """Send a message to the leader until the answer is as expected.
 
         The message must be safe to repeat. Raises `errors.TransportError`
         after `timeout_s`.
         """
         deadline = time.monotonic() + timeout_s
-        last: object = 'no leader'
+        last_failure: object = 'no leader'
         while time.monotonic() < deadline:
             self._leader = self._leader or await self.find_leader()
             if self._leader is not None:
                 try:
                     answer = await self.ask(self._leader, message)
                 except errors.TransportError as error:
-                    last = error
+                    last_failure = error
                 else:
                     if isinstance(answer, expected):
                         return answer
-                    last = answer
+                    last_failure = answer
             self._leader = None
-            await asyncio.sleep(RETRY_S)
-        raise errors.TransportError(f'no answer from a leader: {last}')
+            await asyncio.sleep(RETRY_DELAY_S)
+        raise errors.TransportError(
+            f'no expected answer from a leader: {last_failure}'
+        )
 
     async def read_tables(self) -> wire.TablesResponse:
-        """Return all rows and the version of each table."""
+        """Return the rows and versions of all tables."""
         return await self.ask_leader(wire.TablesRequest(), wire.TablesResponse)
 
     async def read_fleet(self) -> wire.FleetResponse:
@@ -126,30 +137,33 @@
         return await self.ask_leader(wire.FleetRequest(), wire.FleetResponse)
 
     async def put_rows(self, rows: Sequence[wire.Row]) -> wire.EditResult:
-        """Set rows in one edit, sent until its result is known."""
+        """Set rows in one edit; retries it until the result is known."""
         edit = await self.make_edit(rows)
         return await self.ask_leader(edit, wire.EditResult)
 
     async def make_edit(self, rows: Sequence[wire.Row]) -> wire.Edit:
-        """Return an edit that sets rows, made against the current tables."""
+        """Return an edit that sets rows, based on the current tables."""
         tables = await self.read_tables()
         changes = [
-            wire.Change(table=_TABLES[type(row)], key=row.name, row=row)
+            wire.Change(table=_TABLE_NAMES[type(row)], key=row.name, row=row)
             for row in rows
         ]
-        used = {change.table for change in changes}
+        changed_tables = {change.table for change in changes}
         return wire.Edit(
             edit_id=ids.EditId(f'edit-{secrets.token_hex(8)}'),
-            base={table: tables.versions.get(table, 0) for table in used},
+            base={
+                table: tables.versions.get(table, 0)
+                for table in changed_tables
+            },
             changes=changes,
         )
 
     async def read_row(
-        self, kind: type[MessageT], key: str
+        self, row_type: type[MessageT], key: str
     ) -> MessageT | None:
-        """Return the row of a type by its key, if there is one."""
+        """Return the row of a type by its key, if it exists."""
         tables = await self.read_tables()
         for change in tables.changes:
-            if change.key == key and isinstance(change.row, kind):
+            if change.key == key and isinstance(change.row, row_type):
                 return change.row
         return None
--- a/fulmarseam/bench/_plan.py
+++ b/fulmarseam/bench/_plan.py
@@ -1,4 +1,4 @@
-"""What a group consists of: members, entries, targets and tables."""
+"""The plan of a cluster: control members, entries, targets and rows."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -11,14 +11,14 @@
 
 
 class ControlPlan(NamedTuple):
-    """A control member."""
+    """The plan of a control member."""
 
     name: str
     region: str
 
 
 class EntryPlan(NamedTuple):
-    """An entry."""
+    """The plan of an entry."""
 
     name: str
     region: str
@@ -27,7 +27,7 @@
 
 
 class TargetPlan(NamedTuple):
-    """A target; `options` are further settings of the stand-in."""
+    """The plan of a target; `options` are additional settings of it."""
 
     name: str
     pool: str
@@ -42,11 +42,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """A whole group and the rows that it starts with.
+    """The nodes of a cluster and the rows that it starts with.
 
-    With `faulty` all links pass through the fault proxy, without
-    `proxy_requests` all but those of callers' requests; `delay_ms` is then
-    the one-way time between two regions.
+    With `faulty` the links pass through the fault proxy, which adds the
+    one-way delay `delay_ms` between regions. Without `proxy_requests` the
+    links of callers' requests bypass it.
     """
 
     controls: Sequence[ControlPlan]
@@ -63,7 +63,7 @@
 
     @property
     def regions(self) -> list[str]:
-        """Return the regions of the group in order."""
+        """Return the sorted regions of all nodes."""
         return sorted({node.region for node in self.nodes})
 
     @property
@@ -72,15 +72,15 @@
         return [*self.controls, *self.entries, *self.targets]
 
 
-# A new control leader holds slots back for this long, see the design page.
+# A new control leader withholds slots for this long, see the design page.
 MAX_DEADLINE_MS = 2_000
 
 
 def make_rows(pools: Sequence[str], once: bool = True) -> list[wire.Row]:
-    """Return a pool and its routes for each name.
+    """Return the rows of pools and their routes.
 
-    Host `NAME.example` is repeatable and, with `once`, there is a host
-    `once.NAME.example` that is not.
+    The route of host `NAME.example` is idempotent. With `once` each pool
+    also has a route of host `once.NAME.example` that is not.
     """
     rows: list[wire.Row] = []
     for name in pools:
@@ -125,17 +125,19 @@
     target_options: Mapping[str, Any] | None = None,
     **options: Any,
 ) -> Plan:
-    """Return a group with its nodes spread over regions and domains.
+    """Return a plan with its nodes spread over regions and domains.
 
-    Control members are in regions of their own names, so that the loss of
-    a region with entries and targets leaves the control group whole, when
-    there are fewer than three regions.
+    With fewer than three regions each control member is in a region of its
+    own, so that the loss of a region with entries and targets does not
+    affect the control group.
     """
-    homes = list(regions) if len(regions) >= 3 else []
+    control_regions = list(regions) if len(regions) >= 3 else []
     control_plans = [
         ControlPlan(
             f'c{number}',
-            homes[number % len(homes)] if homes else f'control-{number}',
+            control_regions[number % len(control_regions)]
+            if control_regions
+            else f'control-{number}',
         )
         for number in range(controls)
     ]
--- a/fulmarseam/bench/_plots.py
+++ b/fulmarseam/bench/_plots.py
@@ -46,7 +46,7 @@
         latencies = _results.Latencies(
             call for call in history.calls if call.route == route
         )
-        values = [latencies.read_ms(part) for part in PERCENTILES]
+        values = [latencies.get_percentile_ms(part) for part in PERCENTILES]
         axes.plot(ticks, values, marker='o', label=route)
     axes.set_xticks(ticks, [f'p{part:g}' for part in PERCENTILES])
     axes.set_yscale('log')
--- a/fulmarseam/bench/_processes.py
+++ b/fulmarseam/bench/_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the programs, started and ended by their ids."""
+"""Starts and ends the programs as child processes."""
 
 from collections.abc import Iterable
 import contextlib
@@ -13,29 +13,29 @@
 import yaml
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
-# Below the usual range of ports that the system gives to outgoing
-# connections, so that a restarted process finds its port free.
+# Ports below the usual ephemeral range, from which outgoing connections get
+# theirs, so that a restarted process finds its port free.
 LOWEST_PORT = 12_000
 HIGHEST_PORT = 32_000
 STOP_TIMEOUT_S = 15.0
 
-_ports_given: set[int] = set()
+_used_ports: set[int] = set()
 
 
 def find_free_address() -> str:
-    """Return a loopback address that is free and was not given before."""
+    """Return a free loopback address that was not returned before."""
     while True:
         port = random.SystemRandom().randrange(LOWEST_PORT, HIGHEST_PORT)
-        if port in _ports_given:
+        if port in _used_ports:
             continue
-        _ports_given.add(port)
-        with socket.socket() as probe, contextlib.suppress(OSError):
-            probe.bind(('127.0.0.1', port))
+        _used_ports.add(port)
+        with socket.socket() as listener, contextlib.suppress(OSError):
+            listener.bind(('127.0.0.1', port))
             return f'127.0.0.1:{port}'
 
 
 class Process:
-    """One program with its settings, started as often as needed."""
+    """A program with its settings, which can be started repeatedly."""
 
     def __init__(
         self, program: str, name: str, options: object, folder: pathlib.Path
@@ -49,14 +49,14 @@
 
     @property
     def pid(self) -> int | None:
-        """Return the process id while the process runs."""
+        """Return the process id, or `None` if the process does not run."""
         if self._child is None or self._child.poll() is not None:
             return None
         return self._child.pid
 
     @property
     def exit_code(self) -> int | None:
-        """Return the exit code once the process has ended."""
+        """Return the exit code, or `None` before the process has exited."""
         return self._child.poll() if self._child else None
 
     def start(self) -> None:
@@ -80,35 +80,38 @@
             self._child.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its exit."""
         self.signal(signal.SIGKILL)
         if self._child is not None:
             self._child.wait(STOP_TIMEOUT_S)
 
     def pause(self) -> None:
-        """Stop the process without ending it."""
+        """Suspend the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Continue a paused process."""
         self.signal(signal.SIGCONT)
 
     def read_output(self) -> str:
-        """Return what the process wrote to its output."""
+        """Return the standard output and error of all starts."""
         return self._output.read_text(encoding='utf-8', errors='replace')
 
 
 def end_processes(processes: Iterable[Process]) -> None:
-    """End all the processes at once, frozen ones too."""
-    started = list(processes)
-    for process in started:
+    """Kill all processes, including paused ones, and wait for their exit.
+
+    All are signalled before the first wait.
+    """
+    signalled = list(processes)
+    for process in signalled:
         process.signal(signal.SIGKILL)
-    for process in started:
+    for process in signalled:
         process.kill()
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor time that a process has used, in seconds."""
+    """Return the CPU time that a process has used, in seconds."""
     text = pathlib.Path(f'/proc/{pid}/stat').read_text(encoding='ascii')
     fields = text.rpartition(')')[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf('SC_CLK_TCK')
--- a/fulmarseam/bench/_run.py
+++ b/fulmarseam/bench/_run.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: a cluster, its loads and what is known of it."""
+"""A run of a scenario: the cluster, its loads and the recorded history."""
 
 import asyncio
 from collections.abc import Sequence
@@ -18,20 +18,20 @@
 from fulmarseam.bench import _processes
 from fulmarseam.bench import _waiting
 
-# The policy of the system, as against those of the baselines.
-OURS = 'ours'
-LOAD_MARGIN_S = 30.0
-WARM_UP_S = 20.0
+# The policy of this system; the other policies are baselines without entries.
+SYSTEM_POLICY = 'ours'
+LOAD_EXIT_MARGIN_S = 30.0
+WARM_UP_TIMEOUT_S = 20.0
 
 
 class RouteLoad(dict[str, Any]):
-    """Settings of one route of a load."""
+    """The settings of one route of a load process."""
 
 
 def make_route_load(
-    pool: str, once: bool = False, weight: float = 1.0, **more: Any
+    pool: str, once: bool = False, weight: float = 1.0, **options: Any
 ) -> RouteLoad:
-    """Return the load of one of the routes made by `make_rows`."""
+    """Return the load settings of a route that `_plan.make_rows` made."""
     return RouteLoad(
         name=f'once-{pool}' if once else pool,
         host=f'once.{pool}.example' if once else f'{pool}.example',
@@ -40,12 +40,12 @@
         deadline_ms=_plan.MAX_DEADLINE_MS,
         once=once,
         weight=weight,
-        **more,
+        **options,
     )
 
 
 class ScenarioRun:
-    """A cluster under load, with the history for the checker."""
+    """A cluster under load that records the history for the checker."""
 
     def __init__(self, plan: _plan.Plan) -> None:
         self.cluster = _cluster.Cluster(plan)
@@ -54,7 +54,7 @@
         self.retirements: list[_checker.Retirement] = []
         self.drains: list[_checker.TargetDrain] = []
         self.shifts: list[_checker.ShiftCap] = []
-        self._began = 0.0
+        self._first_call_at = 0.0
 
     async def __aenter__(self) -> Self:
         await self.cluster.__aenter__()
@@ -69,7 +69,7 @@
         await self.cluster.__aexit__(*exc_info)
 
     async def warm_up(self) -> None:
-        """Wait until each entry has answered a call on each route."""
+        """Wait until each entry has answered a call to each route."""
         routes = [
             row
             for row in self.cluster.plan.rows
@@ -80,9 +80,9 @@
         async with client.Caller(apis, region) as caller:
             for route in routes:
                 for entry in self.cluster.plan.entries:
-                    await self._wait_answer(caller, route, entry.name)
+                    await self._wait_for_answer(caller, route, entry.name)
 
-    async def _wait_answer(
+    async def _wait_for_answer(
         self, caller: client.Caller, route: wire.Route, name: str
     ) -> None:
         address = self.cluster.find_entry_address(name)
@@ -92,8 +92,8 @@
             headers = {'Fulmarseam-Deadline-Ms': '500'}
             try:
                 if not route.idempotent:
-                    key = await caller.create_request_id()
-                    headers['Idempotency-Key'] = key
+                    request_id = await caller.create_request_id()
+                    headers['Idempotency-Key'] = request_id
                 request = client.Request('GET', route.host, '/', headers)
                 reply = await http_client.send(address, request, 2.0)
             except (client.ExchangeError, errors.FulmarseamError):
@@ -102,7 +102,9 @@
 
         with contextlib.closing(http_client):
             await _waiting.wait_until(
-                is_answered, WARM_UP_S, f'{name} answers on {route.name}'
+                is_answered,
+                WARM_UP_TIMEOUT_S,
+                f'{name} answers on {route.name}',
             )
 
     def start_load(
@@ -110,21 +112,22 @@
         region: str,
         routes: Sequence[RouteLoad],
         phases: Sequence[tuple[float, float]],
-        policy: str = OURS,
+        policy: str = SYSTEM_POLICY,
     ) -> str:
         """Start a load process and return its name.
 
-        Each phase has a rate a second and a duration in seconds. With a
-        policy other than `OURS` the load goes straight to the targets.
+        Each phase has a rate per second and a duration in seconds. With a
+        policy other than `SYSTEM_POLICY` the load goes directly to the
+        targets.
         """
         name = f'load-{region}-{len(self._loads)}'
         options = {
-            **self._choose_way(region, policy),
+            **self._make_destination_settings(region, policy),
             'region': region,
             'routes': [dict(route) for route in routes],
             'phases': [
-                {'rate_per_s': rate, 'duration_s': span}
-                for rate, span in phases
+                {'rate_per_s': rate, 'duration_s': duration_s}
+                for rate, duration_s in phases
             ],
             'seed': 1 + len(self._loads),
             'caller': name,
@@ -136,50 +139,55 @@
         return name
 
     async def wait_first_call(self) -> float:
-        """Return when the first load had made a call.
+        """Wait for the first call of the first load; return its time.
 
-        Times of a run count from then on: beside other processes a load
-        takes seconds to start.
+        Offsets of a run count from this time, because a load takes seconds
+        to start beside other processes.
         """
-        if not self._began:
+        if not self._first_call_at:
             name = self._loads[0]
             path = self.cluster.find_journal(name)
             await _waiting.wait_until(
                 lambda: path.exists() and path.stat().st_size > 0,
-                WARM_UP_S,
-                f'a call of {name}',
+                WARM_UP_TIMEOUT_S,
+                f'first call of {name}',
             )
-            self._began = time.monotonic()
-        return self._began
-
-    def _choose_way(self, region: str, policy: str) -> dict[str, Any]:
-        if policy != OURS:
-            direct = [
+            self._first_call_at = time.monotonic()
+        return self._first_call_at
+
+    def _make_destination_settings(
+        self, region: str, policy: str
+    ) -> dict[str, Any]:
+        if policy != SYSTEM_POLICY:
+            target_addresses = [
                 self.cluster.addresses[target.name].listen
                 for target in self.cluster.plan.targets
             ]
-            return {'direct': direct, 'policy': policy}
-        near = self.cluster.list_apis(region)
-        far = [api for api in self.cluster.list_apis() if api not in near]
-        return {'entries': [*near, *far]}
+            return {'direct': target_addresses, 'policy': policy}
+        local = self.cluster.list_apis(region)
+        remote = [api for api in self.cluster.list_apis() if api not in local]
+        return {'entries': [*local, *remote]}
 
     async def wait_loads(self, timeout_s: float) -> None:
-        """Wait until all loads have ended; raises when one failed."""
+        """Wait until all loads have exited.
+
+        Raises `errors.FulmarseamError` if a load failed.
+        """
         for name in self._loads:
             process = self.cluster.processes[name]
             await _waiting.wait_until(
-                functools.partial(_has_ended, process),
-                timeout_s + LOAD_MARGIN_S,
-                f'{name} ended',
+                functools.partial(_has_exited, process),
+                timeout_s + LOAD_EXIT_MARGIN_S,
+                f'{name} exited',
             )
             if process.exit_code != 0:
                 raise errors.FulmarseamError(
                     errors.ErrorKind.INTERNAL,
-                    f'{name} failed: {process.read_output()}',
+                    f'load process {name} failed: {process.read_output()}',
                 )
 
     async def put_rows(self, *rows: wire.Row) -> wire.EditResult:
-        """Make an edit that must be accepted, and note what it promises."""
+        """Make an edit that must be accepted and record it for the checker."""
         result = await self.cluster.operator.put_rows(rows)
         if result.kind is not None:
             raise errors.FulmarseamError(
@@ -188,8 +196,8 @@
         accepted = time.monotonic()
         for row in rows:
             if isinstance(row, wire.Route) and row.retired:
-                item = _checker.Retirement(row.name, accepted)
-                self.retirements.append(item)
+                retirement = _checker.Retirement(row.name, accepted)
+                self.retirements.append(retirement)
             if isinstance(row, wire.Shift):
                 self.shifts.append(
                     _checker.ShiftCap(
@@ -204,7 +212,7 @@
         return result
 
     async def drain_target(self, name: str) -> None:
-        """Announce a drain of a target that starts now."""
+        """Start a drain of a target and wait until it is active."""
         await self.put_rows(
             wire.Drain(
                 name=f'drain-{name}',
@@ -226,7 +234,7 @@
         self.drains.append(_checker.TargetDrain(name, time.monotonic()))
 
     def kill_target(self, name: str) -> None:
-        """Kill a target and note its end in its journal."""
+        """Kill a target and append a DOWN record to its journal."""
         self.cluster.processes[name].kill()
         plan = next(
             target
@@ -249,7 +257,7 @@
         journal.close()
 
     async def stop_entry(self, name: str) -> float:
-        """Stop an entry gracefully; return the seconds that took."""
+        """Stop an entry gracefully; return the seconds until it exited."""
         begin = time.monotonic()
         taken = await self.cluster.stop(name)
         self.stops.append(
@@ -262,7 +270,7 @@
         return taken
 
     def collect_history(self) -> _checker.History:
-        """Return the history recorded so far."""
+        """Return the history of the run so far."""
         plan = self.cluster.plan
         calls = [
             call
@@ -293,11 +301,11 @@
         )
 
 
-def _has_ended(process: _processes.Process) -> bool:
+def _has_exited(process: _processes.Process) -> bool:
     return process.exit_code is not None
 
 
 async def wait_until_offset(run: ScenarioRun, offset_s: float) -> None:
-    """Wait until a moment after the first call of the first load."""
-    began = await run.wait_first_call()
-    await asyncio.sleep(max(0.0, began + offset_s - time.monotonic()))
+    """Wait until an offset from the first call of the first load."""
+    first_call_at = await run.wait_first_call()
+    await asyncio.sleep(max(0.0, first_call_at + offset_s - time.monotonic()))
--- a/fulmarseam/bench/_scenarios.py
+++ b/fulmarseam/bench/_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios: each makes a run, disturbs it and leaves its history.
+"""The scenarios: each puts a cluster under load and disturbs it.
 
 Loads last `DURATION_S`. Rates are shares of what the targets can serve.
 """
@@ -17,31 +17,32 @@
 from fulmarseam.bench import _run
 
 DURATION_S = 12.0
-DISTURB_AT_S = 3.0
-HALF = 0.5
+DISTURBANCE_AT_S = 3.0
+DEFAULT_LOAD_SHARE = 0.5
 MEAN_SERVICE_MS = 20.0
 LINK_BYTES_PER_S = 280_000_000 // 8
 REGIONS = ('ost', 'west', 'sued')
 POOL = 'katalog'
 
-Disturb = Callable[[_run.ScenarioRun], Awaitable[None]]
+Disturbance = Callable[[_run.ScenarioRun], Awaitable[None]]
 
 
 class Scenario(NamedTuple):
-    """A plan, the load of each region as a share, and a disturbance.
+    """The load and the disturbance of a scenario.
 
-    `surge` is the share after `DISTURB_AT_S`.
+    `share` is the load of each region as a share of what its targets can
+    serve. `surge` is the share of the first region after the disturbance.
     """
 
-    disturb: Disturb
-    share: float = HALF
+    apply_disturbance: Disturbance
+    share: float = DEFAULT_LOAD_SHARE
     surge: float | None = None
     faulty: bool = False
     target_options: dict[str, Any] = {}
 
 
-async def leave_alone(run: _run.ScenarioRun) -> None:
-    """Disturb nothing."""
+async def do_nothing(run: _run.ScenarioRun) -> None:
+    """Run without a disturbance."""
 
 
 async def lose_pool(run: _run.ScenarioRun) -> None:
@@ -79,7 +80,7 @@
 
 
 async def restart_cold(run: _run.ScenarioRun) -> None:
-    """Replace the targets of the first region by cold ones."""
+    """Kill the targets of the first region and start them again, cold."""
     for target in run.cluster.plan.targets:
         if target.region == REGIONS[0]:
             run.kill_target(target.name)
@@ -87,7 +88,7 @@
 
 
 async def stop_reports(run: _run.ScenarioRun) -> None:
-    """Stop the load reports of all targets; they serve on."""
+    """Stop the load reports of all targets, which continue to serve."""
     for target in run.cluster.plan.targets:
         await run.cluster.command_target(
             target.name, standin.TargetCommand(reports='stop')
@@ -95,18 +96,18 @@
 
 
 async def partition_leader(run: _run.ScenarioRun) -> None:
-    """Separate the control leader silently for 4 s, then heal."""
+    """Partition the control leader for 4 s by holding its bytes back."""
     leader = await run.cluster.wait_leader(5.0)
     await run.cluster.isolate({leader})
-    await _run.wait_until_offset(run, DISTURB_AT_S + 4.0)
+    await _run.wait_until_offset(run, DISTURBANCE_AT_S + 4.0)
     await run.cluster.links.heal()
 
 
 async def kill_entry(run: _run.ScenarioRun) -> None:
-    """Kill one entry and start it again after 3 s."""
+    """Kill one entry and start it again 3 s later."""
     process = run.cluster.processes[run.cluster.plan.entries[0].name]
     process.kill()
-    await _run.wait_until_offset(run, DISTURB_AT_S + 3.0)
+    await _run.wait_until_offset(run, DISTURBANCE_AT_S + 3.0)
     process.start()
 
 
@@ -119,14 +120,16 @@
             await run.cluster.wait_ready(10.0)
 
 
-_COLD = {'cold_s': 4.0, 'cold_multiplier': 4.0}
+_COLD_START = {'cold_s': 4.0, 'cold_multiplier': 4.0}
 
 SCENARIOS: dict[str, Scenario] = {
-    'steady': Scenario(leave_alone),
+    'steady': Scenario(do_nothing),
     'pool-lost': Scenario(lose_pool),
     'region-lost': Scenario(lose_region),
     'shift': Scenario(shift_traffic),
-    'surge-cold': Scenario(restart_cold, surge=0.9, target_options=_COLD),
+    'surge-cold': Scenario(
+        restart_cold, surge=0.9, target_options=_COLD_START
+    ),
     'reports-stopped': Scenario(stop_reports),
     'leader-partitioned': Scenario(partition_leader, faulty=True),
     'entry-killed': Scenario(kill_entry),
@@ -135,8 +138,8 @@
 
 
 def make_plan(scenario: Scenario) -> _plan.Plan:
-    """Return the group of a scenario."""
-    service = {
+    """Return the plan of a scenario."""
+    service_time = {
         'distribution': 'lognormal',
         'mean_ms': MEAN_SERVICE_MS,
         'sigma': 0.5,
@@ -149,9 +152,9 @@
         slots=3,
         pools=[POOL],
         more_rows=_make_links(),
-        target_options={'service': service},
+        target_options={'service': service_time},
         faulty=scenario.faulty,
-        # The proxy is too slow for the requests of the bench.
+        # The fault proxy is too slow for the requests of the load.
         proxy_requests=False,
     )
 
@@ -160,17 +163,17 @@
     """Return the links of the smaller deployment, 280 Mbit/s each way."""
     return [
         wire.Link(
-            name=f'{near}>{far}',
-            from_region=ids.RegionName(near),
-            to_region=ids.RegionName(far),
+            name=f'{source}>{destination}',
+            from_region=ids.RegionName(source),
+            to_region=ids.RegionName(destination),
             bytes_per_s=LINK_BYTES_PER_S,
         )
-        for near, far in itertools.permutations(REGIONS, 2)
+        for source, destination in itertools.permutations(REGIONS, 2)
     ]
 
 
-def find_rate_per_s(plan: _plan.Plan, region: str, share: float) -> float:
-    """Return the arrivals that keep a share of a region's slots busy."""
+def compute_rate_per_s(plan: _plan.Plan, region: str, share: float) -> float:
+    """Return the arrival rate that keeps a share of a region's slots busy."""
     slots = sum(
         target.slots for target in plan.targets if target.region == region
     )
@@ -180,18 +183,25 @@
 async def run_scenario(
     run: _run.ScenarioRun, scenario: Scenario, policy: str
 ) -> None:
-    """Run the loads of a scenario and disturb them."""
+    """Run the loads of a scenario and apply its disturbance."""
     routes = [
         _run.make_route_load(POOL, weight=3.0),
         _run.make_route_load(POOL, once=True),
     ]
     for region in REGIONS:
-        base = find_rate_per_s(run.cluster.plan, region, scenario.share)
-        late = base
+        first_rate = compute_rate_per_s(
+            run.cluster.plan, region, scenario.share
+        )
+        second_rate = first_rate
         if scenario.surge is not None and region == REGIONS[0]:
-            late = find_rate_per_s(run.cluster.plan, region, scenario.surge)
-        phases = [(base, DISTURB_AT_S), (late, DURATION_S - DISTURB_AT_S)]
+            second_rate = compute_rate_per_s(
+                run.cluster.plan, region, scenario.surge
+            )
+        phases = [
+            (first_rate, DISTURBANCE_AT_S),
+            (second_rate, DURATION_S - DISTURBANCE_AT_S),
+        ]
         run.start_load(region, routes, phases, policy)
-    await _run.wait_until_offset(run, DISTURB_AT_S)
-    await scenario.disturb(run)
+    await _run.wait_until_offset(run, DISTURBANCE_AT_S)
+    await scenario.apply_disturbance(run)
     await run.wait_loads(DURATION_S)
--- a/fulmarseam/bench/_waiting.py
+++ b/fulmarseam/bench/_waiting.py
@@ -1,4 +1,4 @@
-"""Waits for conditions with a deadline."""
+"""Waits for conditions with a timeout."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -7,32 +7,34 @@
 import time
 from typing import Any
 
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class ConditionError(AssertionError):
-    """A condition was not met in time."""
+    """A condition was not met within the timeout."""
 
 
 async def wait_until(
     condition: Callable[[], Any | Awaitable[Any]],
     timeout_s: float,
-    what: str,
-    poll_s: float = POLL_S,
+    description: str,
+    poll_s: float = POLL_INTERVAL_S,
 ) -> float:
-    """Wait until a condition is true; return the seconds that took.
+    """Wait until a condition is true; return the seconds waited.
 
     The condition may be a coroutine function. Raises `ConditionError`
     after `timeout_s`.
     """
     start = time.monotonic()
     while True:
-        met = condition()
-        if inspect.isawaitable(met):
-            met = await met
-        taken = time.monotonic() - start
-        if met:
-            return taken
-        if taken > timeout_s:
-            raise ConditionError(f'not within {timeout_s} s: {what}')
+        is_met = condition()
+        if inspect.isawaitable(is_met):
+            is_met = await is_met
+        elapsed_s = time.monotonic() - start
+        if is_met:
+            return elapsed_s
+        if elapsed_s > timeout_s:
+            raise ConditionError(
+                f'condition not met within {timeout_s} s: {description}'
+            )
         await asyncio.sleep(poll_s)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -121,7 +121,7 @@
         ]
         self.assertIn('P2', self.find_in([], runs))
         self.assertNotIn('P2', self.find_in([], runs[:2]))
-        self.assertEqual(1, _checker.count_over_slots(runs))
+        self.assertEqual(1, _checker.count_slot_overruns(runs))
 
     def test_slots_of_all_targets_of_a_region_count(self) -> None:
         other = make_run(standin.RunEvent.UP, '', 9.0, target='t2', busy=0)
