--- a/fulmarseam/bench/__init__.py
+++ b/fulmarseam/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Scenarios on real processes, the checker of promises, and plots."""
+"""Runs scenarios on real processes, checks the promises and plots figures."""
 
 from collections.abc import Sequence
 import pathlib
@@ -12,7 +12,7 @@
 
 DEMO = 'demo'
 ALL = 'all'
-SHOWN_VIOLATIONS = 10
+MAX_PRINTED_VIOLATIONS = 10
 SCENARIO_NAMES = (DEMO, ALL, *_scenarios.SCENARIOS, *capacity.SCENARIO_NAMES)
 POLICIES = (_run.SYSTEM_POLICY, 'random', 'least-outstanding')
 
@@ -20,10 +20,10 @@
 async def run_scenarios(
     name: str, policies: Sequence[str], plots: pathlib.Path | None
 ) -> int:
-    """Run scenarios and print their figures; return the broken promises.
+    """Run scenarios and print their figures.
 
-    Those of the baselines, which promise nothing, do not count. With
-    `plots` PNG files are written to that folder.
+    Returns the number of violated promises, without those of the baselines,
+    which make no promises. With `plots` PNG files are written to that folder.
     """
     if name == DEMO:
         return await _demo.run_demo()
@@ -31,13 +31,13 @@
         await capacity.run_scenario(name)
         return 0
     names = list(_scenarios.SCENARIOS) if name == ALL else [name]
-    broken = 0
+    broken_promises = 0
     for scenario in names:
         for policy in policies:
             figures = await _run_scenario(scenario, policy, plots)
             if policy == _run.SYSTEM_POLICY:
-                broken += figures.broken_promises
-    return broken
+                broken_promises += figures.broken_promises
+    return broken_promises
 
 
 async def _run_scenario(
@@ -50,10 +50,12 @@
         history = run.collect_history()
     figures = _results.compute_figures(name, policy, history)
     print(figures.format(), flush=True)
-    for violation in _checker.find_violations(history)[:SHOWN_VIOLATIONS]:
+    for violation in _checker.find_violations(history)[
+        :MAX_PRINTED_VIOLATIONS
+    ]:
         print(f'broken: {violation.promise} {violation.detail}')
     if plots is not None:
-        # Matplotlib takes a second to load; only plots need it.
+        # Importing matplotlib takes a second, and only plots need it.
         from fulmarseam.bench import _plots
 
         _plots.plot_run(f'{name}-{policy}', history, plots)
--- a/fulmarseam/bench/_demo.py
+++ b/fulmarseam/bench/_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: an edit, a drain and mixed load on a small group."""
+"""The demonstration: an edit, a drain and mixed load on a small cluster."""
 
 import time
 
@@ -29,7 +29,8 @@
         not_run = sum(call.outcome == 'not-run' for call in calls)
         unknown = sum(call.outcome == 'unknown' for call in calls)
         figures = [
-            latencies.get_percentile_ms(part) for part in (50, 99, 99.9)
+            latencies.get_percentile_ms(percentile)
+            for percentile in (50, 99, 99.9)
         ]
         print(
             f'{route:<20}{latencies.count:>8}{not_run:>9}{unknown:>9}'
@@ -37,8 +38,8 @@
         )
 
 
-async def change_route(run: _run.ScenarioRun) -> None:
-    """Add a route and report when it is in force on all entries."""
+async def add_route(run: _run.ScenarioRun) -> None:
+    """Add a route and print the time until it is in force on all entries."""
     start = time.monotonic()
     result = await run.put_rows(
         wire.Route(
@@ -62,7 +63,7 @@
 
 
 async def run_demo() -> int:
-    """Run the demonstration; return the number of broken promises."""
+    """Run the demonstration; return the number of violated promises."""
     plan = _plan.make_plan(
         controls=3,
         regions=REGIONS,
@@ -79,18 +80,18 @@
         for region in REGIONS:
             run.start_load(region, routes, [(RATE_PER_S, LOAD_S)])
         await _run.wait_until_offset(run, EDIT_AT_S)
-        await change_route(run)
+        await add_route(run)
         await _run.wait_until_offset(run, DRAIN_AT_S)
         await run.drain_target(plan.targets[0].name)
-        print(f'drain of {plan.targets[0].name} announced')
+        print(f'drain of {plan.targets[0].name} active')
         await _run.wait_until_offset(run, LEAVE_AT_S)
-        taken = await run.cluster.stop(plan.targets[-1].name)
-        print(f'{plan.targets[-1].name} left and ended after {taken:.3f} s')
+        stop_s = await run.cluster.stop(plan.targets[-1].name)
+        print(f'{plan.targets[-1].name} left and exited after {stop_s:.3f} s')
         await run.wait_loads(LOAD_S)
         history = run.collect_history()
     print_table(history)
-    drains = _results.measure_drain_times(history.runs)
-    print(f'drain_s={max(drains, default=0.0):.3f}')
+    drain_times = _results.measure_drain_times(history.runs)
+    print(f'drain_s={max(drain_times, default=0.0):.3f}')
     violations = _checker.find_violations(history)
     for violation in violations:
         print(f'broken: {violation.promise} {violation.detail}')
--- a/fulmarseam/bench/_plots.py
+++ b/fulmarseam/bench/_plots.py
@@ -1,4 +1,4 @@
-"""Plots of a run as PNG files."""
+"""Plots the history of a run to PNG files."""
 
 import collections
 from collections.abc import Sequence
@@ -20,7 +20,7 @@
 
 
 def plot_traffic(history: _checker.History, path: pathlib.Path) -> None:
-    """Plot the runs a second at the targets of each region over time."""
+    """Plot the requests per second that targets of each region started."""
     starts = [
         run for run in history.runs if run.event is standin.RunEvent.START
     ]
@@ -35,7 +35,7 @@
         seconds = range(max(counts[region]) + 1)
         rates = [counts[region][second] for second in seconds]
         axes.plot(list(seconds), rates, label=region)
-    _finish(figure, axes, 'time (s)', 'runs a second', path)
+    _save_figure(figure, axes, 'time (s)', 'requests per second', path)
 
 
 def plot_latencies(history: _checker.History, path: pathlib.Path) -> None:
@@ -46,18 +46,21 @@
         latencies = _results.Latencies(
             call for call in history.calls if call.route == route
         )
-        values = [latencies.get_percentile_ms(part) for part in PERCENTILES]
+        values = [
+            latencies.get_percentile_ms(percentile)
+            for percentile in PERCENTILES
+        ]
         axes.plot(ticks, values, marker='o', label=route)
-    axes.set_xticks(ticks, [f'p{part:g}' for part in PERCENTILES])
+    axes.set_xticks(ticks, [f'p{percentile:g}' for percentile in PERCENTILES])
     axes.set_yscale('log')
-    _finish(figure, axes, 'percentile', 'latency (ms)', path)
+    _save_figure(figure, axes, 'percentile', 'latency (ms)', path)
 
 
-def _finish(
-    figure: Any, axes: Any, across: str, up: str, path: pathlib.Path
+def _save_figure(
+    figure: Any, axes: Any, x_label: str, y_label: str, path: pathlib.Path
 ) -> None:
-    axes.set_xlabel(across)
-    axes.set_ylabel(up)
+    axes.set_xlabel(x_label)
+    axes.set_ylabel(y_label)
     axes.legend()
     figure.tight_layout()
     figure.savefig(path)
@@ -67,10 +70,10 @@
 def plot_run(
     name: str, history: _checker.History, folder: pathlib.Path
 ) -> Sequence[pathlib.Path]:
-    """Write the plots of a run and return their files."""
+    """Write the plots of a run and return their paths."""
     folder.mkdir(parents=True, exist_ok=True)
-    traffic = folder / f'{name}-traffic.png'
-    latencies = folder / f'{name}-latencies.png'
-    plot_traffic(history, traffic)
-    plot_latencies(history, latencies)
-    return traffic, latencies
+    traffic_path = folder / f'{name}-traffic.png'
+    latencies_path = folder / f'{name}-latencies.png'
+    plot_traffic(history, traffic_path)
+    plot_latencies(history, latencies_path)
+    return traffic_path, latencies_path
--- a/fulmarseam/bench/capacity/_changes.py
+++ b/fulmarseam/bench/capacity/_changes.py
@@ -1,4 +1,4 @@
-"""Slopes of configuration changes and of the replay of the log."""
+"""Measures configuration changes and the replay of the log."""
 
 import asyncio
 import contextlib
@@ -10,90 +10,107 @@
 from fulmarseam.bench import _cluster
 from fulmarseam.bench import _plan
 from fulmarseam.bench import _waiting
-from fulmarseam.bench.capacity import _groups
+from fulmarseam.bench.capacity import _control_plane
 from fulmarseam.bench.capacity import _nodes
-from fulmarseam.bench.capacity import _slopes
+from fulmarseam.bench.capacity import _series
 
-NODES = 32
+NODE_COUNT = 32
 RATES_PER_S = (1, 5, 10)
-MEASURE_S = 5.0
+MEASUREMENT_S = 5.0
 REPLAY_LENGTHS = (200, 1_000, 2_000)
 START_TIMEOUT_S = 20.0
-POLL_S = 0.002
-NO_SNAPSHOT = 1_000_000
+POLL_INTERVAL_S = 0.002
+# More log entries than a measurement writes, so that no snapshot is taken.
+NO_SNAPSHOT_EVERY = 1_000_000
 
 
-async def measure_changes() -> list[_slopes.Series]:
-    """Measure the leader's work and a node's bytes over changes a second."""
+async def measure_changes() -> list[_series.Series]:
+    """Measure the cost and the delay of changes at each rate.
+
+    The cost is the leader's share of a core and the bytes of a node.
+    """
     plan = _plan.make_plan(
-        regions=_groups.REGIONS, entries_per_region=0, targets_per_region=0
+        regions=_control_plane.REGIONS,
+        entries_per_region=0,
+        targets_per_region=0,
     )
-    shares: list[_slopes.Point] = []
-    node_bytes: list[_slopes.Point] = []
-    delays: list[_slopes.Point] = []
+    core_shares: list[_series.Point] = []
+    node_bytes: list[_series.Point] = []
+    slowest_ms: list[_series.Point] = []
     async with contextlib.AsyncExitStack() as stack:
         cluster = await stack.enter_async_context(_cluster.Cluster(plan))
         leader = await cluster.wait_leader(START_TIMEOUT_S)
         nodes = [
             await stack.enter_async_context(
-                _groups.make_node(number, cluster.addresses[leader].listen)
+                _control_plane.make_node(
+                    number, cluster.addresses[leader].listen
+                )
             )
-            for number in range(NODES)
+            for number in range(NODE_COUNT)
         ]
-        await asyncio.sleep(_groups.SETTLE_S)
+        await asyncio.sleep(_control_plane.SETTLE_S)
         pid = cluster.processes[leader].pid
         assert pid is not None
         for rate in RATES_PER_S:
-            meter = _groups.Meter(pid)
-            before = _groups.sum_bytes(nodes)
-            slowest = await _make_edits(cluster, nodes, rate)
+            meter = _control_plane.Meter(pid)
+            bytes_before = _control_plane.sum_bytes(nodes)
+            slowest_s = await _edit_at_rate(cluster, nodes, rate)
             usage = meter.read()
-            sent = (_groups.sum_bytes(nodes) - before) / NODES / MEASURE_S
-            shares.append(_slopes.Point(rate, usage.core_share))
-            node_bytes.append(_slopes.Point(rate, sent))
-            delays.append(_slopes.Point(rate, slowest * 1_000))
+            bytes_per_s = (
+                (_control_plane.sum_bytes(nodes) - bytes_before)
+                / NODE_COUNT
+                / MEASUREMENT_S
+            )
+            core_shares.append(_series.Point(rate, usage.core_share))
+            node_bytes.append(_series.Point(rate, bytes_per_s))
+            slowest_ms.append(_series.Point(rate, slowest_s * 1_000))
     return [
-        _make_series('change_leader_core_share', 'share of a core', shares),
+        _make_series(
+            'change_leader_core_share', 'share of a core', core_shares
+        ),
         _make_series('change_node_bytes_per_s', 'bytes/s', node_bytes),
-        _make_series('change_slowest_ms', 'ms', delays),
+        _make_series('change_slowest_ms', 'ms', slowest_ms),
     ]
 
 
 def _make_series(
-    name: str, unit: str, points: list[_slopes.Point]
-) -> _slopes.Series:
-    return _slopes.Series(
+    name: str, unit: str, points: list[_series.Point]
+) -> _series.Series:
+    return _series.Series(
         name=name, x_unit='changes/s', y_unit=unit, points=points
     )
 
 
-async def _make_edits(
+async def _edit_at_rate(
     cluster: _cluster.Cluster, nodes: list[_nodes.SyncNode], rate: int
 ) -> float:
-    """Edit evenly; return the longest time until all nodes had an edit."""
+    """Make edits at an even rate for `MEASUREMENT_S`.
+
+    Returns the longest time in seconds until all nodes had an edit.
+    """
     loop = asyncio.get_running_loop()
     started = loop.time()
-    slowest = 0.0
-    for number in range(int(rate * MEASURE_S)):
-        revision = await _edit(cluster, number)
+    slowest_s = 0.0
+    for number in range(int(rate * MEASUREMENT_S)):
+        revision = await _make_edit(cluster, number)
         accepted = loop.time()
         await _waiting.wait_until(
-            functools.partial(_have_revision, nodes, revision),
+            functools.partial(_all_have_revision, nodes, revision),
             START_TIMEOUT_S,
             f'revision {revision} on all nodes',
-            POLL_S,
+            POLL_INTERVAL_S,
         )
-        slowest = max(slowest, loop.time() - accepted)
+        slowest_s = max(slowest_s, loop.time() - accepted)
         next_at = started + (number + 1) / rate
         await asyncio.sleep(max(0.0, next_at - loop.time()))
-    return slowest
+    return slowest_s
 
 
-def _have_revision(nodes: list[_nodes.SyncNode], revision: int) -> bool:
+def _all_have_revision(nodes: list[_nodes.SyncNode], revision: int) -> bool:
     return all(node.counts.revision >= revision for node in nodes)
 
 
-async def _edit(cluster: _cluster.Cluster, number: int) -> int:
+async def _make_edit(cluster: _cluster.Cluster, number: int) -> int:
     row = wire.Pool(
         name=ids.PoolName('capacity'), queue_limit=1 + number % 1_000
     )
@@ -101,13 +118,13 @@
     return result.revision
 
 
-async def measure_replay() -> list[_slopes.Series]:
-    """Measure the start of a member over the length of its log."""
+async def measure_replay() -> list[_series.Series]:
+    """Measure the start time of a member at each length of its log."""
     plan = _plan.make_plan(
         controls=1,
         entries_per_region=0,
         targets_per_region=0,
-        control_options={'snapshot_every': NO_SNAPSHOT},
+        control_options={'snapshot_every': NO_SNAPSHOT_EVERY},
     )
     points = []
     written = 0
@@ -115,7 +132,7 @@
         process = cluster.processes['c0']
         for length in REPLAY_LENGTHS:
             for number in range(written, length):
-                await _edit(cluster, number)
+                await _make_edit(cluster, number)
             written = length
             process.kill()
             started = time.monotonic()
@@ -126,9 +143,9 @@
                 'a leader after the restart',
                 0.01,
             )
-            points.append(_slopes.Point(length, time.monotonic() - started))
+            points.append(_series.Point(length, time.monotonic() - started))
     return [
-        _slopes.Series(
+        _series.Series(
             name='replay_start_s',
             x_unit='log entries',
             y_unit='s',
--- a/fulmarseam/bench/capacity/_groups.py
+++ b/fulmarseam/bench/capacity/_control_plane.py
@@ -1,4 +1,4 @@
-"""Control work of real processes: members, entries and announcements."""
+"""Measures the control traffic and load of real processes."""
 
 import asyncio
 import contextlib
@@ -8,23 +8,28 @@
 from fulmarseam.bench import _plan
 from fulmarseam.bench import _processes
 from fulmarseam.bench.capacity import _nodes
-from fulmarseam.bench.capacity import _slopes
+from fulmarseam.bench.capacity import _series
 
 NODE_COUNTS = (8, 32, 128)
 SETTLE_S = 3.0
-MEASURE_S = 6.0
+MEASUREMENT_S = 6.0
 REGIONS = ('ost', 'west', 'sued')
 DOMAINS_PER_REGION = 2
-ENTRIES_TODAY = 7
-CONTROLS_TODAY = 5
-POOLS_TODAY = (('listview', 20, 5), ('listedit', 12, 4), ('orderdesk', 12, 3))
-CONTROL_BYTES = 'fulmarseam_control_bytes_total'
+CURRENT_ENTRY_COUNT = 7
+CURRENT_CONTROL_COUNT = 5
+CURRENT_POOLS = (
+    ('listview', 20, 5),
+    ('listedit', 12, 4),
+    ('orderdesk', 12, 3),
+)
+CONTROL_BYTES_METRIC = 'fulmarseam_control_bytes_total'
 
 
 class Usage(NamedTuple):
-    """What a process used during a measurement.
+    """The resources that a process used during a measurement.
 
-    `core_share` is processor time over time, `resident_mb` memory.
+    `core_share` is CPU time divided by elapsed time, `resident_mb` the
+    resident memory at the end.
     """
 
     core_share: float
@@ -32,32 +37,32 @@
 
 
 class Meter:
-    """Measures the processor time of a process over an interval."""
+    """Measures the CPU time of a process from the creation of the meter."""
 
     def __init__(self, pid: int) -> None:
         self._pid = pid
-        self._started_cpu = _processes.read_cpu_s(pid)
+        self._start_cpu_s = _processes.read_cpu_s(pid)
         self._started_at = asyncio.get_running_loop().time()
 
     def read(self) -> Usage:
-        """Return the usage since the meter was made."""
-        elapsed = asyncio.get_running_loop().time() - self._started_at
-        used = _processes.read_cpu_s(self._pid) - self._started_cpu
-        return Usage(used / elapsed, read_resident_mb(self._pid))
+        """Return the usage since the creation of the meter."""
+        elapsed_s = asyncio.get_running_loop().time() - self._started_at
+        cpu_s = _processes.read_cpu_s(self._pid) - self._start_cpu_s
+        return Usage(cpu_s / elapsed_s, read_resident_mb(self._pid))
 
 
 def read_resident_mb(pid: int) -> float:
-    """Return the memory of a process in MB."""
+    """Return the resident memory of a process in MB."""
     with open(f'/proc/{pid}/status', encoding='ascii') as lines:
         for line in lines:
             if line.startswith('VmRSS:'):
                 return int(line.split()[1]) * 1024 / 1e6
-    raise ValueError(f'found no memory figure of process {pid}')
+    raise ValueError(f'found no VmRSS line in /proc/{pid}/status')
 
 
-async def measure_sync() -> list[_slopes.Series]:
-    """Measure the leader's work at rest over the number of nodes."""
-    points: dict[str, list[_slopes.Point]] = {
+async def measure_sync() -> list[_series.Series]:
+    """Measure the idle load of the leader at each number of nodes."""
+    points: dict[str, list[_series.Point]] = {
         'sync_leader_core_share': [],
         'sync_leader_resident_mb': [],
         'sync_node_bytes_per_s': [],
@@ -69,12 +74,12 @@
         usage, node_bytes = await _measure_nodes(count)
         values = (usage.core_share, usage.resident_mb, node_bytes)
         for name, value in zip(points, values, strict=True):
-            points[name].append(_slopes.Point(count, value))
+            points[name].append(_series.Point(count, value))
     return [
-        _slopes.Series(
-            name=name, x_unit='nodes', y_unit=units[name], points=found
+        _series.Series(
+            name=name, x_unit='nodes', y_unit=units[name], points=measured
         )
-        for name, found in points.items()
+        for name, measured in points.items()
     ]
 
 
@@ -95,15 +100,15 @@
         pid = cluster.processes[leader].pid
         assert pid is not None
         meter = Meter(pid)
-        before = sum_bytes(nodes)
-        await asyncio.sleep(MEASURE_S)
+        bytes_before = sum_bytes(nodes)
+        await asyncio.sleep(MEASUREMENT_S)
         usage = meter.read()
-        sent = sum_bytes(nodes) - before
-    return usage, sent / count / MEASURE_S
+        transferred = sum_bytes(nodes) - bytes_before
+    return usage, transferred / count / MEASUREMENT_S
 
 
 def make_node(number: int, address: str) -> _nodes.SyncNode:
-    """Return a stand-in node in one of the regions."""
+    """Return a stand-in node; its number selects the region and domain."""
     region = REGIONS[number % len(REGIONS)]
     domain = number // len(REGIONS) % DOMAINS_PER_REGION
     return _nodes.SyncNode(number, address, region, f'{region}-{domain}')
@@ -116,40 +121,46 @@
     )
 
 
-async def measure_rest() -> dict[str, float]:
-    """Measure the control work at rest of a group of today's size.
+async def measure_idle() -> dict[str, float]:
+    """Measure an idle cluster of the size of the larger deployment.
 
-    The group has 5 control members, 7 entries and 44 targets, as the
-    larger deployment has. Figures are those of the busiest process.
+    The cluster has 5 control members, 7 entries and 44 targets. Each figure
+    is that of the busiest process, the follower's that of the least busy.
     """
-    async with _cluster.Cluster(make_rest_plan()) as cluster:
+    async with _cluster.Cluster(make_current_plan()) as cluster:
         await asyncio.sleep(SETTLE_S)
         entries = [entry.name for entry in cluster.plan.entries]
         controls = [control.name for control in cluster.plan.controls]
-        meters = {name: _make_meter(cluster, name) for name in entries}
+        entry_meters = {name: _make_meter(cluster, name) for name in entries}
         control_meters = {
             name: _make_meter(cluster, name) for name in controls
         }
-        before = {name: await _read_bytes(cluster, name) for name in entries}
-        await asyncio.sleep(MEASURE_S)
-        used = [meter.read() for meter in meters.values()]
-        control_used = [meter.read() for meter in control_meters.values()]
-        after = {name: await _read_bytes(cluster, name) for name in entries}
-    rates = [(after[name] - before[name]) / MEASURE_S for name in entries]
+        before = {
+            name: await _read_control_bytes(cluster, name) for name in entries
+        }
+        await asyncio.sleep(MEASUREMENT_S)
+        entry_usages = [meter.read() for meter in entry_meters.values()]
+        control_usages = [meter.read() for meter in control_meters.values()]
+        after = {
+            name: await _read_control_bytes(cluster, name) for name in entries
+        }
+    rates = [(after[name] - before[name]) / MEASUREMENT_S for name in entries]
     return {
-        'entry_core_share': max(usage.core_share for usage in used),
-        'entry_resident_mb': max(usage.resident_mb for usage in used),
+        'entry_core_share': max(usage.core_share for usage in entry_usages),
+        'entry_resident_mb': max(usage.resident_mb for usage in entry_usages),
         'entry_bytes_per_s': max(rates),
-        'leader_core_share': max(usage.core_share for usage in control_used),
-        'follower_core_share': min(usage.core_share for usage in control_used),
+        'leader_core_share': max(usage.core_share for usage in control_usages),
+        'follower_core_share': min(
+            usage.core_share for usage in control_usages
+        ),
         'control_resident_mb': max(
-            usage.resident_mb for usage in control_used
+            usage.resident_mb for usage in control_usages
         ),
     }
 
 
-def make_rest_plan() -> _plan.Plan:
-    """Return a plan with the figures of the larger deployment."""
+def make_current_plan() -> _plan.Plan:
+    """Return a plan of the size of the larger deployment."""
     places = [
         (region, f'{region}-{domain}')
         for region in REGIONS
@@ -157,19 +168,19 @@
     ]
     entries = [
         _plan.EntryPlan(f'e{number}', *places[number % len(places)])
-        for number in range(ENTRIES_TODAY)
+        for number in range(CURRENT_ENTRY_COUNT)
     ]
     targets = [
         _plan.TargetPlan(f't-{pool}-{number}', pool, *place, slots)
-        for pool, count, slots in POOLS_TODAY
+        for pool, count, slots in CURRENT_POOLS
         for number in range(count)
         for place in [places[number % len(places)]]
     ]
     controls = [
         _plan.ControlPlan(f'c{number}', REGIONS[number % len(REGIONS)])
-        for number in range(CONTROLS_TODAY)
+        for number in range(CURRENT_CONTROL_COUNT)
     ]
-    rows = _plan.make_rows([pool for pool, _, _ in POOLS_TODAY])
+    rows = _plan.make_rows([pool for pool, _, _ in CURRENT_POOLS])
     return _plan.Plan(controls, entries, targets, rows)
 
 
@@ -179,6 +190,6 @@
     return Meter(pid)
 
 
-async def _read_bytes(cluster: _cluster.Cluster, name: str) -> float:
+async def _read_control_bytes(cluster: _cluster.Cluster, name: str) -> float:
     page = await cluster.read_metrics(name)
-    return page[CONTROL_BYTES]
+    return page[CONTROL_BYTES_METRIC]
--- a/fulmarseam/bench/capacity/_nodes.py
+++ b/fulmarseam/bench/capacity/_nodes.py
@@ -1,4 +1,4 @@
-"""Stand-in nodes that hold sync requests open at the control leader."""
+"""Stand-in nodes that keep a sync request open at the control leader."""
 
 import asyncio
 import contextlib
@@ -10,16 +10,16 @@
 from fulmarseam import transport
 from fulmarseam import wire
 
-HOLD_MS = 400
+SYNC_WAIT_MS = 400
 CALL_TIMEOUT_S = 5.0
-RETRY_S = 0.05
-# Frame of the request protocol: 8 bytes of length and 4 of request id.
-FRAME_BYTES = 12
+RETRY_DELAY_S = 0.05
+# The request protocol adds 8 bytes of length and 4 bytes of request id.
+FRAME_OVERHEAD_BYTES = 12
 
 
 @dataclasses.dataclass
 class NodeCounts:
-    """What a node sent and received."""
+    """Counters of a node and the latest revision that it received."""
 
     calls: int = 0
     failures: int = 0
@@ -29,7 +29,7 @@
 
 
 class SyncNode:
-    """One node that syncs with the leader until the context ends."""
+    """A node that syncs with the leader until the context exits."""
 
     def __init__(
         self, number: int, address: str, region: str, domain: str
@@ -69,7 +69,7 @@
                 await self._sync()
             except errors.FulmarseamError:
                 self.counts.failures += 1
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def _sync(self) -> None:
         request = wire.SyncRequest(
@@ -86,15 +86,19 @@
             links=[],
             announcements=[],
             announcement_ages_ms=[],
-            wait_ms=HOLD_MS,
+            wait_ms=SYNC_WAIT_MS,
         )
         answer = await self._client.call(request, CALL_TIMEOUT_S)
         if not isinstance(answer, wire.SyncResponse):
-            raise errors.TransportError(f'no sync answer: {answer!r}')
+            raise errors.TransportError(
+                f'found answer {answer!r}, expected SyncResponse'
+            )
         counts = self.counts
         counts.calls += 1
-        counts.bytes_sent += len(wire.encode(request)) + FRAME_BYTES
-        counts.bytes_received += len(wire.encode(answer)) + FRAME_BYTES
+        counts.bytes_sent += len(wire.encode(request)) + FRAME_OVERHEAD_BYTES
+        counts.bytes_received += (
+            len(wire.encode(answer)) + FRAME_OVERHEAD_BYTES
+        )
         counts.revision = answer.revision
         self._targets_term = answer.term
         self._targets_version = answer.targets_version
--- a/fulmarseam/bench/capacity/_page.py
+++ b/fulmarseam/bench/capacity/_page.py
@@ -1,15 +1,18 @@
-"""The table of the capacity page, made from the results file."""
+"""Makes the tables of the capacity page from the results file."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
 import pathlib
 from typing import NamedTuple
 
-from fulmarseam.bench.capacity import _slopes
+from fulmarseam.bench.capacity import _series
 
-BEGIN = '<!-- table made by fulmarseam-bench --scenario=capacity-page -->'
-END = '<!-- end of the table -->'
+TABLES_BEGIN = (
+    '<!-- table made by fulmarseam-bench --scenario=capacity-page -->'
+)
+TABLES_END = '<!-- end of the table -->'
 
+# The size expected in two years.
 NODES = 3_300
 SITES = 2_900
 BLOCKS = 490_000
@@ -19,49 +22,49 @@
 CHANGES_PER_S = 33_000 / 86_400
 RESTARTS_PER_DAY = 370
 NODES_PER_RELAY = NODES / RELAYS
-LOOKUPS_PER_NODE = LOOKUPS_PER_S / NODES
+LOOKUPS_PER_NODE_PER_S = LOOKUPS_PER_S / NODES
 SITES_PER_REGION = SITES / REGIONS
 SYNCS_PER_S = 2.5
-# A slot grant or use with its target's name in the wire format.
+# Encoded size of a slot grant or a slot use, with the name of the target.
 GRANT_BYTES = 27
-# A target's announcement on its way from the entry to the leader.
+# Encoded size of a target's announcement from an entry to the leader.
 ANNOUNCEMENT_BYTES = 266
 ANNOUNCEMENTS_PER_S = 1 / 0.75
 
-Lines = Mapping[str, _slopes.Line]
+Lines = Mapping[str, _series.Line]
 
 
 class Row(NamedTuple):
-    """A line of the table; `value` works it out from the fitted lines."""
+    """A row of the table; `compute` gets its value from the fitted lines."""
 
     role: str
-    what: str
+    quantity: str
     formula: str
-    value: Callable[[Lines], float]
+    compute: Callable[[Lines], float]
     unit: str
     bound: str
     mechanism: str
     status: str
 
 
-def _at(name: str, x: float) -> Callable[[Lines], float]:
+def _evaluate_at(name: str, x: float) -> Callable[[Lines], float]:
     return lambda lines: lines[name].value_at(x)
 
 
-def _node_bytes(lines: Lines) -> float:
-    rest = lines['sync_node_bytes_per_s'].value_at(NODES_PER_RELAY)
+def _compute_node_kb_per_s(lines: Lines) -> float:
+    idle = lines['sync_node_bytes_per_s'].value_at(NODES_PER_RELAY)
     changes = lines['change_node_bytes_per_s'].slope * CHANGES_PER_S
     grants = 2 * GRANT_BYTES * SITES_PER_REGION * SYNCS_PER_S
-    announced = ANNOUNCEMENT_BYTES * ANNOUNCEMENTS_PER_S * SITES / NODES
-    return (rest + changes + grants + announced) / 1_000
+    announcements = ANNOUNCEMENT_BYTES * ANNOUNCEMENTS_PER_S * SITES / NODES
+    return (idle + changes + grants + announcements) / 1_000
 
 
-def _nodes_at_one_core(lines: Lines) -> float:
+def _compute_nodes_at_one_core(lines: Lines) -> float:
     line = lines['sync_leader_core_share']
     return (1.0 - line.intercept) / line.slope
 
 
-def _start_bytes_per_relay(lines: Lines) -> float:
+def _compute_start_mb_per_relay(lines: Lines) -> float:
     return lines['blocks_image_mb'].value_at(BLOCKS) * NODES_PER_RELAY
 
 
@@ -83,7 +86,7 @@
         'entry',
         'time of one block look-up',
         'line at 490,000 blocks',
-        _at('blocks_find_us', BLOCKS),
+        _evaluate_at('blocks_find_us', BLOCKS),
         'us',
         'microseconds',
         'binary search in each prefix length',
@@ -93,7 +96,7 @@
         'entry',
         'time of one block change',
         'line at 490,000 blocks',
-        _at('blocks_change_us', BLOCKS),
+        _evaluate_at('blocks_change_us', BLOCKS),
         'us',
         '-',
         'one insertion into a sorted array',
@@ -103,7 +106,9 @@
         'look-ups',
         'processor time of a node',
         'slope x 3,333 look-ups/s',
-        lambda lines: lines['lookup_core_share'].slope * LOOKUPS_PER_NODE,
+        lambda lines: (
+            lines['lookup_core_share'].slope * LOOKUPS_PER_NODE_PER_S
+        ),
         'cores',
         '- (service, not control)',
         'answers kept for each region and caller group; several look-up '
@@ -115,7 +120,7 @@
         'control bytes of a node',
         'sync at rest + changes + grants and uses of 56 targets + '
         'announcements',
-        _node_bytes,
+        _compute_node_kb_per_s,
         'KB/s',
         '6',
         'long poll with differences; grants and uses as differences',
@@ -125,7 +130,7 @@
         'control leader',
         'nodes that fill one core when served directly',
         '(1 - intercept) / slope',
-        _nodes_at_one_core,
+        _compute_nodes_at_one_core,
         'nodes',
         '3,300',
         'breaks here; relays replace it',
@@ -135,7 +140,7 @@
         'control leader',
         'processor time with 41 relays',
         'line at 41 readers',
-        _at('sync_leader_core_share', RELAYS),
+        _evaluate_at('sync_leader_core_share', RELAYS),
         'cores',
         'own host',
         'relays ask like entries',
@@ -145,7 +150,7 @@
         'relay',
         'processor time for 80 nodes',
         'line at 80 nodes',
-        _at('sync_leader_core_share', NODES_PER_RELAY),
+        _evaluate_at('sync_leader_core_share', NODES_PER_RELAY),
         'cores',
         'own host',
         'answers the same sync request, adds its age',
@@ -188,7 +193,7 @@
         'control member',
         'start with 5,000 log entries',
         'line at 5,000 entries',
-        _at('replay_start_s', 5_000),
+        _evaluate_at('replay_start_s', 5_000),
         's',
         '-',
         'snapshot every 5,000 entries bounds the replay',
@@ -198,7 +203,7 @@
         'relay',
         'bytes to start all nodes after a power loss',
         'image of the blocks x 80 nodes',
-        _start_bytes_per_relay,
+        _compute_start_mb_per_relay,
         'MB',
         '-',
         'the image is made once and sent to all',
@@ -222,7 +227,7 @@
     ),
 )
 
-TODAY = (
+CURRENT_SIZE_ROWS = (
     ('rest_entry_core_share', 'entry, share of a core', '0.01'),
     ('rest_entry_resident_mb', 'entry, MB', '128'),
     ('rest_entry_bytes_per_s', 'entry, bytes/s', '6,000'),
@@ -232,20 +237,20 @@
 )
 
 
-def fit_lines(results: Mapping[str, _slopes.Series]) -> Lines:
-    """Return the line of each series; one point gives a level line."""
+def fit_lines(results: Mapping[str, _series.Series]) -> Lines:
+    """Return the line of each series; a single point gives a constant."""
     lines = {}
     for name, series in results.items():
         if len(series.points) == 1:
-            lines[name] = _slopes.Line(
+            lines[name] = _series.Line(
                 slope=0.0, intercept=series.points[0].y, residual=0.0
             )
         else:
-            lines[name] = _slopes.fit_line(series.points)
+            lines[name] = _series.fit_line(series.points)
     return lines
 
 
-def make_tables(results: Mapping[str, _slopes.Series]) -> str:
+def make_tables(results: Mapping[str, _series.Series]) -> str:
     """Return the tables of the page in Markdown."""
     lines = fit_lines(results)
     parts = [
@@ -253,8 +258,8 @@
         '| --- | --- | --- | --- | --- | --- | --- |',
     ]
     parts.extend(
-        f'| {row.role} | {row.what} | {row.formula} | '
-        f'{format_figure(row.value(lines))} {row.unit} | {row.bound} | '
+        f'| {row.role} | {row.quantity} | {row.formula} | '
+        f'{format_figure(row.compute(lines))} {row.unit} | {row.bound} | '
         f'{row.mechanism} | {row.status} |'
         for row in ROWS
     )
@@ -268,7 +273,7 @@
     ]
     parts.extend(
         f'| {label} | {format_figure(lines[name].intercept)} | {bound} |'
-        for name, label, bound in TODAY
+        for name, label, bound in CURRENT_SIZE_ROWS
     )
     parts += [
         '',
@@ -285,7 +290,7 @@
     return '\n'.join(parts)
 
 
-def _describe_series(series: _slopes.Series, line: _slopes.Line) -> str:
+def _describe_series(series: _series.Series, line: _series.Line) -> str:
     points = ', '.join(
         f'{point.x:g}: {format_figure(point.y)}' for point in series.points
     )
@@ -296,18 +301,19 @@
 
 
 def format_figure(value: float) -> str:
-    """Return a figure with three significant digits."""
+    """Format a figure with 3 significant digits, or as integer from 1,000."""
     if abs(value) >= 1_000:
         return f'{value:,.0f}'
     return f'{value:.3g}'
 
 
 def write_page(page: pathlib.Path, results: pathlib.Path) -> None:
-    """Replace the tables of the page by those of the results file."""
+    """Replace the tables of the page with those made from a results file."""
     text = page.read_text(encoding='utf-8')
-    before, _, rest = text.partition(BEGIN)
-    _, _, after = rest.partition(END)
-    tables = make_tables(_slopes.read_results(results))
+    before, _, rest = text.partition(TABLES_BEGIN)
+    _, _, after = rest.partition(TABLES_END)
+    tables = make_tables(_series.read_results(results))
     page.write_text(
-        f'{before}{BEGIN}\n\n{tables}\n\n{END}{after}', encoding='utf-8'
+        f'{before}{TABLES_BEGIN}\n\n{tables}\n\n{TABLES_END}{after}',
+        encoding='utf-8',
     )
--- a/fulmarseam/bench/capacity/_scenarios.py
+++ b/fulmarseam/bench/capacity/_scenarios.py
@@ -7,40 +7,40 @@
 
 from fulmarseam.bench.capacity import _blocks
 from fulmarseam.bench.capacity import _changes
-from fulmarseam.bench.capacity import _groups
+from fulmarseam.bench.capacity import _control_plane
+from fulmarseam.bench.capacity import _fresh_process
 from fulmarseam.bench.capacity import _lookups
 from fulmarseam.bench.capacity import _page
-from fulmarseam.bench.capacity import _probe
-from fulmarseam.bench.capacity import _slopes
+from fulmarseam.bench.capacity import _series
 
-RESULTS = pathlib.Path('docs') / 'capacity-results.json'
-PAGE = pathlib.Path('docs') / 'CAPACITY.md'
-TIMEOUT_S = 120.0
+RESULTS_PATH = pathlib.Path('docs') / 'capacity-results.json'
+PAGE_PATH = pathlib.Path('docs') / 'CAPACITY.md'
+MEASUREMENT_TIMEOUT_S = 120.0
 
-Measure = Callable[[], Awaitable[list[_slopes.Series]]]
+Measurement = Callable[[], Awaitable[list[_series.Series]]]
 
 
-async def _measure_blocks() -> list[_slopes.Series]:
+async def _measure_blocks() -> list[_series.Series]:
     return await asyncio.to_thread(_blocks.measure_blocks)
 
 
-async def _measure_rest() -> list[_slopes.Series]:
-    figures = await _groups.measure_rest()
+async def _measure_idle() -> list[_series.Series]:
+    figures = await _control_plane.measure_idle()
     return [
-        _slopes.Series(
+        _series.Series(
             name=f'rest_{name}',
             x_unit='entries',
             y_unit='',
-            points=[_slopes.Point(_groups.ENTRIES_TODAY, value)],
+            points=[_series.Point(_control_plane.CURRENT_ENTRY_COUNT, value)],
         )
         for name, value in figures.items()
     ]
 
 
-MEASUREMENTS: dict[str, Measure] = {
+MEASUREMENTS: dict[str, Measurement] = {
     'capacity-blocks': _measure_blocks,
-    'capacity-rest': _measure_rest,
-    'capacity-sync': _groups.measure_sync,
+    'capacity-rest': _measure_idle,
+    'capacity-sync': _control_plane.measure_sync,
     'capacity-lookups': _lookups.measure_lookups,
     'capacity-changes': _changes.measure_changes,
     'capacity-replay': _changes.measure_replay,
@@ -50,16 +50,16 @@
 
 
 async def run_scenario(name: str) -> None:
-    """Measure and store the series, or make the page from all of them."""
-    results = _probe.ROOT / RESULTS
+    """Measure and store series, or make the page from all stored series."""
+    results = _fresh_process.ROOT / RESULTS_PATH
     if name == PAGE_SCENARIO:
-        _page.write_page(_probe.ROOT / PAGE, results)
-        print(f'scenario={name} page={PAGE}')
+        _page.write_page(_fresh_process.ROOT / PAGE_PATH, results)
+        print(f'scenario={name} page={PAGE_PATH}')
         return
-    async with asyncio.timeout(TIMEOUT_S):
-        found = await MEASUREMENTS[name]()
-    _slopes.store_series(results, found)
-    for series in found:
+    async with asyncio.timeout(MEASUREMENT_TIMEOUT_S):
+        measured = await MEASUREMENTS[name]()
+    _series.store_series(results, measured)
+    for series in measured:
         points = ','.join(
             f'{point.x:g}:{point.y:.6g}' for point in series.points
         )
--- a/fulmarseam/bench/capacity/_slopes.py
+++ b/fulmarseam/bench/capacity/_series.py
@@ -1,4 +1,4 @@
-"""Straight-line fits over measured points, kept in a results file."""
+"""Measured series in a results file, and straight lines fitted to them."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -9,14 +9,14 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measurement: `y` seen at size `x`."""
+    """One measurement: the value `y` at the size `x`."""
 
     x: float
     y: float
 
 
 class Series(msgspec.Struct, frozen=True, kw_only=True):
-    """Measurements of one quantity over one size, with their units."""
+    """Measurements of one quantity at several sizes, with both units."""
 
     name: str
     x_unit: str
@@ -25,10 +25,10 @@
 
 
 class Line(msgspec.Struct, frozen=True, kw_only=True):
-    """A least-squares line.
+    """A line fitted by least squares.
 
-    `residual` is the largest distance of a point from the line, as a share
-    of the largest measured value.
+    `residual` is the largest vertical distance of a point from the line,
+    divided by the largest measured value.
     """
 
     slope: float
@@ -51,25 +51,28 @@
     ys = numpy.array([point.y for point in points])
     slope, intercept = numpy.polyfit(xs, ys, 1)
     distances = numpy.abs(ys - (slope * xs + intercept))
-    largest = float(numpy.max(numpy.abs(ys)))
-    residual = float(numpy.max(distances)) / largest if largest else 0.0
+    largest_y = float(numpy.max(numpy.abs(ys)))
+    residual = float(numpy.max(distances)) / largest_y if largest_y else 0.0
     return Line(
         slope=float(slope), intercept=float(intercept), residual=residual
     )
 
 
 def read_results(path: pathlib.Path) -> dict[str, Series]:
-    """Return the series of a results file by name; none without a file."""
+    """Return the series of a results file by name.
+
+    Returns an empty mapping if the file does not exist.
+    """
     if not path.exists():
         return {}
-    found = msgspec.json.decode(path.read_bytes(), type=list[Series])
-    return {series.name: series for series in found}
+    stored = msgspec.json.decode(path.read_bytes(), type=list[Series])
+    return {series.name: series for series in stored}
 
 
-def store_series(path: pathlib.Path, fresh: Iterable[Series]) -> None:
-    """Add series to a results file; a series of the same name is replaced."""
+def store_series(path: pathlib.Path, measured: Iterable[Series]) -> None:
+    """Add series to a results file; replaces series of the same names."""
     results = read_results(path)
-    results.update({series.name: series for series in fresh})
+    results.update({series.name: series for series in measured})
     ordered = [results[name] for name in sorted(results)]
     data = msgspec.json.format(msgspec.json.encode(ordered), indent=1)
     path.write_bytes(data + b'\n')
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of the capacity package."""
+"""Tests of the capacity measurements."""
 
 import pathlib
 import tempfile
@@ -6,11 +6,11 @@
 
 from fulmarseam.bench import capacity
 from fulmarseam.bench.capacity import _blocks
-from fulmarseam.bench.capacity import _probe
+from fulmarseam.bench.capacity import _fresh_process
 
 
 def make_series(name: str, *values: float) -> capacity.Series:
-    """Return a series with values at 1, 2, 3 and so on."""
+    """Return a series of the values at the sizes 1, 2, 3 and so on."""
     points = [
         capacity.Point(number, value)
         for number, value in enumerate(values, start=1)
@@ -19,7 +19,7 @@
 
 
 class SlopeTest(unittest.TestCase):
-    """Guards against a capacity page made from wrong slopes."""
+    """Guards against a capacity page that extrapolates wrong lines."""
 
     def test_line_fits_points(self) -> None:
         line = capacity.fit_line(make_series('a', 3, 5, 7).points)
@@ -28,7 +28,7 @@
         self.assertAlmostEqual(0, line.residual)
         self.assertAlmostEqual(21, line.value_at(10))
 
-    def test_bent_series_has_a_large_residual(self) -> None:
+    def test_nonlinear_series_has_a_large_residual(self) -> None:
         line = capacity.fit_line(make_series('a', 1, 1, 1, 9).points)
         self.assertGreater(line.residual, 0.2)
 
@@ -39,19 +39,19 @@
     def test_results_replace_a_series_of_the_same_name(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'results.json')
-            old = [make_series('a', 1), make_series('b', 2)]
-            capacity.store_series(path, old)
+            stored = [make_series('a', 1), make_series('b', 2)]
+            capacity.store_series(path, stored)
             capacity.store_series(path, [make_series('a', 3)])
             results = capacity.read_results(path)
         self.assertEqual(3, results['a'].points[0].y)
         self.assertEqual(2, results['b'].points[0].y)
 
 
-class ProbeTest(unittest.TestCase):
-    """Guards against a probe that reports another table than asked."""
+class FreshProcessTest(unittest.TestCase):
+    """Guards against figures of a table of another size than requested."""
 
-    def test_probe_measures_a_table_of_the_size(self) -> None:
-        figures = _probe.run_probe(_blocks.__name__, 1_000)
+    def test_measures_a_table_of_the_size(self) -> None:
+        figures = _fresh_process.run_measurement(_blocks.__name__, 1_000)
         expected = len(_blocks.make_image(1_000)) / 1e6
         self.assertAlmostEqual(expected, figures['image_mb'])
         self.assertGreater(figures['resident_mb'], 5)
