--- a/fulmarseam/bench/_scenarios.py
+++ b/fulmarseam/bench/_scenarios.py
@@ -34,7 +34,7 @@
     serve. `surge` is the share of the first region after the disturbance.
     """
 
-    apply_disturbance: Disturbance
+    disturb: Disturbance
     share: float = DEFAULT_LOAD_SHARE
     surge: float | None = None
     faulty: bool = False
@@ -203,5 +203,5 @@
         ]
         run.start_load(region, routes, phases, policy)
     await _run.wait_until_offset(run, DISTURBANCE_AT_S)
-    await scenario.apply_disturbance(run)
+    await scenario.disturb(run)
     await run.wait_loads(DURATION_S)
--- a/fulmarseam/bench/capacity/_page.py
+++ b/fulmarseam/bench/capacity/_page.py
@@ -35,12 +35,12 @@
 
 
 class Row(NamedTuple):
-    """A row of the table; `compute` gets its value from the fitted lines."""
+    """A row of the table; `value` computes its figure from fitted lines."""
 
     role: str
-    quantity: str
+    what: str
     formula: str
-    compute: Callable[[Lines], float]
+    value: Callable[[Lines], float]
     unit: str
     bound: str
     mechanism: str
@@ -258,8 +258,8 @@
         '| --- | --- | --- | --- | --- | --- | --- |',
     ]
     parts.extend(
-        f'| {row.role} | {row.quantity} | {row.formula} | '
-        f'{format_figure(row.compute(lines))} {row.unit} | {row.bound} | '
+        f'| {row.role} | {row.what} | {row.formula} | '
+        f'{format_figure(row.value(lines))} {row.unit} | {row.bound} | '
         f'{row.mechanism} | {row.status} |'
         for row in ROWS
     )
