--- a/fulmarseam/bench/__init__.py
+++ b/fulmarseam/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Scenarios on real processes, the checker of promises, and plots."""
+"""Runs scenarios on real processes, checks the promises and plots figures."""
 
 from collections.abc import Sequence
 import pathlib
@@ -12,32 +12,32 @@
 
 DEMO = 'demo'
 ALL = 'all'
-SHOWN_VIOLATIONS = 10
-NAMES = (DEMO, ALL, *_scenarios.SCENARIOS, *capacity.NAMES)
-POLICIES = (_run.OURS, 'random', 'least-outstanding')
+MAX_PRINTED_VIOLATIONS = 10
+SCENARIO_NAMES = (DEMO, ALL, *_scenarios.SCENARIOS, *capacity.SCENARIO_NAMES)
+POLICIES = (_run.SYSTEM_POLICY, 'random', 'least-outstanding')
 
 
 async def run_scenarios(
     name: str, policies: Sequence[str], plots: pathlib.Path | None
 ) -> int:
-    """Run scenarios and print their figures; return the broken promises.
+    """Run scenarios and print their figures.
 
-    Those of the baselines, which promise nothing, do not count. With
-    `plots` PNG files are written to that folder.
+    Returns the number of violated promises, without those of the baselines,
+    which make no promises. With `plots` PNG files are written to that folder.
     """
     if name == DEMO:
         return await _demo.run_demo()
-    if name in capacity.NAMES:
+    if name in capacity.SCENARIO_NAMES:
         await capacity.run_scenario(name)
         return 0
     names = list(_scenarios.SCENARIOS) if name == ALL else [name]
-    broken = 0
+    broken_promises = 0
     for scenario in names:
         for policy in policies:
             figures = await _run_scenario(scenario, policy, plots)
-            if policy == _run.OURS:
-                broken += figures.broken_promises
-    return broken
+            if policy == _run.SYSTEM_POLICY:
+                broken_promises += figures.broken_promises
+    return broken_promises
 
 
 async def _run_scenario(
@@ -45,19 +45,21 @@
 ) -> _results.Figures:
     scenario = _scenarios.SCENARIOS[name]
     plan = _scenarios.make_plan(scenario)
-    async with _run.Run(plan) as run:
+    async with _run.ScenarioRun(plan) as run:
         await _scenarios.run_scenario(run, scenario, policy)
-        facts = run.collect()
-    figures = _results.compute_figures(name, policy, facts)
+        history = run.collect_history()
+    figures = _results.compute_figures(name, policy, history)
     print(figures.format(), flush=True)
-    for violation in _checker.find_violations(facts)[:SHOWN_VIOLATIONS]:
+    for violation in _checker.find_violations(history)[
+        :MAX_PRINTED_VIOLATIONS
+    ]:
         print(f'broken: {violation.promise} {violation.detail}')
     if plots is not None:
-        # Matplotlib takes a second to load; only plots need it.
+        # Importing matplotlib takes a second, and only plots need it.
         from fulmarseam.bench import _plots
 
-        _plots.plot_run(f'{name}-{policy}', facts, plots)
+        _plots.plot_run(f'{name}-{policy}', history, plots)
     return figures
 
 
-__all__ = ['ALL', 'DEMO', 'NAMES', 'POLICIES', 'run_scenarios']
+__all__ = ['ALL', 'DEMO', 'SCENARIO_NAMES', 'POLICIES', 'run_scenarios']
--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -26,7 +26,7 @@
         }
 
     async def put_route(self, cluster: _cluster.Cluster, name: str) -> int:
-        result = await cluster.operator.put([_case.make_route(name)])
+        result = await cluster.operator.put_rows([_case.make_route(name)])
         self.assertIsNone(result.kind, result.problems)
         return result.revision
 
@@ -34,7 +34,7 @@
         self, cluster: _cluster.Cluster, former: str
     ) -> float:
         return await _waiting.wait_until(
-            lambda: cluster.operator.find_leader(besides=former),
+            lambda: cluster.operator.find_leader(excluded=former),
             10.0,
             'another leader',
         )
@@ -114,10 +114,10 @@
     async def test_freeze_of_the_leader(self) -> None:
         cluster = await self.start_cluster(_case.make_control_plan(3))
         former = await cluster.wait_leader(5)
-        cluster.processes[former].freeze()
+        cluster.processes[former].pause()
         await self.wait_other_leader(cluster, former)
         revision = await self.put_route(cluster, 'during')
-        cluster.processes[former].thaw()
+        cluster.processes[former].resume()
         await self.wait_applied(cluster, former, revision)
         self.assertIn('during', await self.read_routes(cluster))
 
@@ -199,7 +199,7 @@
         cluster = await self.start_cluster(_case.make_control_plan(3))
         name = await self.find_follower(cluster)
         cluster.processes[name].kill()
-        cluster.wipe(name)
+        cluster.wipe_data_dir(name)
         cluster.processes[name].start()
         await self.expect_refusal(cluster, name)
         await self.put_route(cluster, 'later')
--- a/tests/integration/test_entries.py
+++ b/tests/integration/test_entries.py
@@ -75,14 +75,14 @@
         run = await self.start_run(_case.make_plan())
         for region in _case.REGIONS:
             run.start_load(region, ROUTES, [(60.0, 5.0)])
-        await _run.wait_until_moment(run, 1.5)
+        await _run.wait_until_offset(run, 1.5)
         killed = time.monotonic()
         run.cluster.processes['e-ost-0'].kill()
-        await _run.wait_until_moment(run, 3.0)
+        await _run.wait_until_offset(run, 3.0)
         run.cluster.processes['e-ost-0'].start()
         await run.wait_loads(5.0)
-        facts = self.check(run, least_good=300)
-        unknown = [call for call in facts.calls if call.outcome == 'unknown']
+        history = self.check(run, least_good=300)
+        unknown = [call for call in history.calls if call.outcome == 'unknown']
         # Without a record holder, claims of its region are refused until
         # the group is repaired; the system says so and runs nothing.
         waiting = [
@@ -139,8 +139,8 @@
         cluster = run.cluster
         cluster.processes['e-ost-0'].kill()
         for number in range(200):
-            await run.put(_case.make_route(f'route-{number}'))
-        await run.put(_case.make_route('route-0', retired=True))
+            await run.put_rows(_case.make_route(f'route-{number}'))
+        await run.put_rows(_case.make_route('route-0', retired=True))
         cluster.processes['e-ost-0'].start()
         await self.wait_kind(cluster, 'e-ost-0', '', 10.0, 'route-199')
         reply = await self.ask(cluster, 'e-ost-0', 'route-0')
@@ -157,10 +157,10 @@
         cluster = run.cluster
         routes = ROUTES if once else ROUTES[:1]
         run.start_load('ost', routes, [(40.0, 6.0)])
-        await _run.wait_until_moment(run, 0.5)
+        await _run.wait_until_offset(run, 0.5)
         start = time.monotonic()
         await cluster.isolate({'e-ost-0'}, incoming, outgoing)
-        await run.put(_case.make_route('other', retired=True))
+        await run.put_rows(_case.make_route('other', retired=True))
         await self.wait_kind(
             cluster, 'e-ost-0', 'config_stale', CONFIG_LEASE_S + MARGIN_S
         )
@@ -186,7 +186,7 @@
         cluster = run.cluster
         for region in _case.REGIONS:
             run.start_load(region, ROUTES, [(40.0, 8.0)])
-        await _run.wait_until_moment(run, 1.0)
+        await _run.wait_until_offset(run, 1.0)
         await cluster.isolate(cluster.list_region('ost'))
         for name in ('e-ost-0', 'e-ost-1'):
             await self.wait_kind(
@@ -201,13 +201,13 @@
     async def test_kill_of_the_control_leader_under_load(self) -> None:
         run = await self.start_run(_case.make_plan())
         run.start_load('ost', ROUTES, [(60.0, 6.0)])
-        await _run.wait_until_moment(run, 1.5)
+        await _run.wait_until_offset(run, 1.5)
         leader = await run.cluster.wait_leader(5.0)
         run.cluster.processes[leader].kill()
         await run.wait_loads(6.0)
-        facts = self.check(run, least_good=300)
+        history = self.check(run, least_good=300)
         self.assertEqual(
-            [], [call for call in facts.calls if call.outcome == 'unknown']
+            [], [call for call in history.calls if call.outcome == 'unknown']
         )
 
 
@@ -223,13 +223,13 @@
         ]
         routes[-1]['name'] = 'slow'
         run.start_load('ost', routes, [(60.0, 10.0)])
-        await _run.wait_until_moment(run, 1.0)
+        await _run.wait_until_offset(run, 1.0)
         taken = await run.stop_entry('e-ost-0')
         self.assertEqual(0, run.cluster.processes['e-ost-0'].exit_code)
         self.assertLess(taken, 6.0 + 3.0)
         await run.wait_loads(10.0)
-        facts = self.check(run, least_good=500)
-        lost = [call for call in facts.calls if call.outcome == 'unknown']
+        history = self.check(run, least_good=500)
+        lost = [call for call in history.calls if call.outcome == 'unknown']
         self.assertEqual([], lost)
 
     async def test_callers_that_keep_an_answer_past_a_stop(self) -> None:
@@ -291,7 +291,7 @@
         await self.check_rpc(cluster)
         self.assertEqual(before, len(cluster.read_runs()))
         self.assertEqual(200, (await self.ask(cluster, 'e-ost-0')).status)
-        await run.put(_case.make_route('after'))
+        await run.put_rows(_case.make_route('after'))
 
     async def test_unsupported_version_is_refused(self) -> None:
         run = await self.start_run(
@@ -347,7 +347,7 @@
         run = await self.start_run(_case.make_plan(once=False))
         taken = []
         for number in range(20):
-            result = await run.put(_case.make_route(f'route-{number}'))
+            result = await run.put_rows(_case.make_route(f'route-{number}'))
             taken.append(await run.cluster.wait_in_force(result.revision, 5.0))
         self.assertLess(sorted(taken)[-1], 1.0)
 
@@ -356,10 +356,10 @@
             _case.make_plan(regions=['ost'], once=False)
         )
         run.start_load('ost', ROUTES[:1], [(40.0, 9.0)])
-        await _run.wait_until_moment(run, 2.5)
+        await _run.wait_until_offset(run, 2.5)
         route = _case.make_route(_case.POOL, retired=True)
-        await run.put(route)
+        await run.put_rows(route)
         await run.wait_loads(9.0)
-        facts = self.check(run, least_good=30)
-        late = [call for call in facts.calls if call.status == 410]
+        history = self.check(run, least_good=30)
+        late = [call for call in history.calls if call.status == 410]
         self.assertGreater(len(late), 50)
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -62,9 +62,9 @@
         )
         routes = [*READS, _run.make_route_load(_case.POOL, once=True)]
         run.start_load('ost', routes, [(80.0, 6.0)])
-        await _run.wait_until_moment(run, 2.0)
+        await _run.wait_until_offset(run, 2.0)
         run.kill_target('t-katalog-ost-0')
-        await _run.wait_until_moment(run, 4.0)
+        await _run.wait_until_offset(run, 4.0)
         run.cluster.processes['t-katalog-ost-0'].start()
         await run.wait_loads(6.0)
         self.check(run, least_good=420)
@@ -76,11 +76,11 @@
             )
         )
         run.start_load('ost', READS, [(60.0, 8.0)])
-        await _run.wait_until_moment(run, 2.0)
+        await _run.wait_until_offset(run, 2.0)
         frozen = run.cluster.processes['t-katalog-ost-0']
-        frozen.freeze()
-        await _run.wait_until_moment(run, 6.0)
-        frozen.thaw()
+        frozen.pause()
+        await _run.wait_until_offset(run, 6.0)
+        frozen.resume()
         await run.wait_loads(8.0)
         self.check(run, least_good=380)
 
@@ -108,8 +108,10 @@
         await cluster.command_target('t-katalog-ost-0', shed)
         run.start_load('ost', READS, [(40.0, 3.0)])
         await run.wait_loads(3.0)
-        facts = self.check(run, least_good=100)
-        shed_runs = [item for item in facts.runs if item.event.value == 'shed']
+        history = self.check(run, least_good=100)
+        shed_runs = [
+            item for item in history.runs if item.event.value == 'shed'
+        ]
         self.assertGreater(len(shed_runs), 0)
 
     async def test_caller_that_leaves_stops_the_work(self) -> None:
@@ -140,11 +142,15 @@
     """Guards against new work on a target that leaves."""
 
     async def check_leave(
-        self, run: _run.Run, name: str | None, rate: float, least_good: int
+        self,
+        run: _run.ScenarioRun,
+        name: str | None,
+        rate: float,
+        least_good: int,
     ) -> None:
         """Let a target leave under load, without a name the busiest one."""
         run.start_load('ost', READS, [(rate, 6.0)])
-        await _run.wait_until_moment(run, 1.5)
+        await _run.wait_until_offset(run, 1.5)
         by_load = name is None
         name = name or self.find_busiest(run.cluster)
         process = run.cluster.processes[name]
@@ -154,17 +160,17 @@
         )
         self.assertEqual(0, process.exit_code)
         await run.wait_loads(6.0)
-        facts = self.check(run, least_good=least_good)
+        history = self.check(run, least_good=least_good)
         cut = [
             call
-            for call in facts.calls
+            for call in history.calls
             if call.outcome == 'unknown'
             and (by_load or call.kind != TIMEOUT_KIND)
         ]
         self.assertEqual([], cut)
         before = [
             item
-            for item in facts.runs
+            for item in history.runs
             if item.target == name and item.event is standin.RunEvent.START
         ]
         self.assertGreater(len(before), 0)
@@ -195,9 +201,9 @@
         run = await self.start_run(plan)
         cluster = run.cluster
         name = 't-katalog-ost-1'
-        options = cluster.describe_target(plan.targets[1])
+        options = cluster.make_target_settings(plan.targets[1])
         cluster.processes[name].kill()
-        cluster.add(
+        cluster.add_process(
             'target',
             name,
             {**options, 'leave_entries': options['entries'][:1]},
@@ -205,7 +211,7 @@
         cluster.processes[name].start()
         await run.warm_up()
         controls = {control.name for control in plan.controls}
-        await cluster.separate({plan.entries[0].name}, controls)
+        await cluster.partition({plan.entries[0].name}, controls)
         # Callers of the entry that is cut off may be refused for 3 s.
         await self.check_leave(run, name, 30.0, 60)
 
@@ -280,7 +286,7 @@
         )
         cluster = run.cluster
         run.start_load('ost', READS, [(60.0, 6.0)])
-        await _run.wait_until_moment(run, 1.0)
+        await _run.wait_until_offset(run, 1.0)
         kinds = []
         for number in range(8):
             entry = f'e-ost-{number % 2}'
@@ -311,7 +317,7 @@
         )
         modes = ('stop', 'low', 'high', 'stuck')
         run.start_load('ost', READS, [(80.0, 5.0)])
-        await _run.wait_until_moment(run, 1.0)
+        await _run.wait_until_offset(run, 1.0)
         for target, mode in zip(run.cluster.plan.targets, modes, strict=True):
             command = standin.TargetCommand(reports=mode)
             await run.cluster.command_target(target.name, command)
