--- a/fulmarseam/consensus/_core_change.py
+++ b/fulmarseam/consensus/_core_change.py
@@ -156,7 +156,7 @@
     entry = wire.LogEntry(
         state.log.last_index + 1,
         state.term,
-        wire.EntryType.MEMBERS,
+        wire.LogEntryType.MEMBERS,
         _core_members.encode_members(members),
     )
     _core_state.append_entries(state, [entry], effects)
--- a/fulmarseam/consensus/_core_follower.py
+++ b/fulmarseam/consensus/_core_follower.py
@@ -75,7 +75,7 @@
             raise errors.WireError(
                 f'entries: found index {entry.index}, expected {index}'
             )
-        if entry.type is wire.EntryType.MEMBERS:
+        if entry.type is wire.LogEntryType.MEMBERS:
             _core_members.decode_members(entry.data)
 
 
--- a/fulmarseam/consensus/_core_leader.py
+++ b/fulmarseam/consensus/_core_leader.py
@@ -26,7 +26,7 @@
     state.peers.clear()
     _core_change.sync_peers(state)
     entry = wire.LogEntry(
-        state.term_start_index, state.term, wire.EntryType.TERM_START
+        state.term_start_index, state.term, wire.LogEntryType.TERM_START
     )
     _core_state.append_entries(state, [entry], effects)
     broadcast(state, now, effects)
@@ -41,7 +41,7 @@
     """Append commands and send them."""
     first = state.log.last_index + 1
     entries = [
-        wire.LogEntry(index, state.term, wire.EntryType.COMMAND, command)
+        wire.LogEntry(index, state.term, wire.LogEntryType.COMMAND, command)
         for index, command in enumerate(commands, first)
     ]
     _core_state.append_entries(state, entries, effects)
--- a/fulmarseam/consensus/_core_members.py
+++ b/fulmarseam/consensus/_core_members.py
@@ -65,7 +65,7 @@
     def add_entries(self, entries: Iterable[wire.LogEntry]) -> None:
         """Add the member sets of appended entries."""
         for entry in entries:
-            if entry.type is wire.EntryType.MEMBERS:
+            if entry.type is wire.LogEntryType.MEMBERS:
                 self._sets.append((entry.index, decode_members(entry.data)))
 
     def truncate(self, first: int) -> None:
--- a/fulmarseam/consensus/_runtime_driver.py
+++ b/fulmarseam/consensus/_runtime_driver.py
@@ -291,7 +291,7 @@
         for item in committed:
             if isinstance(item, _core_types.Snapshot):
                 self._state_machine.restore(item.data)
-            elif item.type is wire.EntryType.COMMAND:
+            elif item.type is wire.LogEntryType.COMMAND:
                 self._applied_bytes += len(item.data)
                 result = self._state_machine.apply(item.data)
                 self.pending_results.resolve_proposal(item, result)
--- a/fulmarseam/wire/__init__.py
+++ b/fulmarseam/wire/__init__.py
@@ -48,12 +48,12 @@
 from fulmarseam.wire._common import Ok
 from fulmarseam.wire._consensus import AppendRequest
 from fulmarseam.wire._consensus import AppendResponse
-from fulmarseam.wire._consensus import EntryType
 from fulmarseam.wire._consensus import Founding
 from fulmarseam.wire._consensus import GroupMembers
 from fulmarseam.wire._consensus import IdentityRequest
 from fulmarseam.wire._consensus import IdentityResponse
 from fulmarseam.wire._consensus import LogEntry
+from fulmarseam.wire._consensus import LogEntryType
 from fulmarseam.wire._consensus import MemberInfo
 from fulmarseam.wire._consensus import MemberRequest
 from fulmarseam.wire._consensus import MemberResponse
@@ -131,7 +131,6 @@
     'EntryProgress',
     'EntryRow',
     'EntryState',
-    'EntryType',
     'Export',
     'Failure',
     'FleetRequest',
@@ -151,6 +150,7 @@
     'LinkRate',
     'LoadRow',
     'LogEntry',
+    'LogEntryType',
     'MemberAdd',
     'MemberInfo',
     'MemberRemove',
--- a/fulmarseam/wire/_consensus.py
+++ b/fulmarseam/wire/_consensus.py
@@ -31,7 +31,7 @@
     retired: list[ids.MemberId] = []
 
 
-class EntryType(enum.Enum):
+class LogEntryType(enum.Enum):
     """What a log entry holds."""
 
     COMMAND = 'c'
@@ -47,7 +47,7 @@
 
     index: int
     term: int
-    type: EntryType
+    type: LogEntryType
     data: bytes = b''
 
 
--- a/tests/consensus_simulation.py
+++ b/tests/consensus_simulation.py
@@ -333,7 +333,7 @@
             assert node.replica is not None
             self.committed_in[item.index] = node.replica.term
         assert self.committed[item.index] == item, 'committed entries differ'
-        if item.type is wire.EntryType.COMMAND:
+        if item.type is wire.LogEntryType.COMMAND:
             node.applied.append(item.data)
         key = (node.name, item.term, item.index)
         if self._pending.pop(key, None) == item.data:
@@ -343,7 +343,7 @@
         return [
             self.committed[index].data
             for index in range(1, last + 1)
-            if self.committed[index].type is wire.EntryType.COMMAND
+            if self.committed[index].type is wire.LogEntryType.COMMAND
         ]
 
     def _check_held_by_majority(
@@ -363,12 +363,12 @@
 
     def _check_members(self, entry: wire.LogEntry) -> None:
         """Committed member sets differ by at most one voter."""
-        if entry.type is not wire.EntryType.MEMBERS:
+        if entry.type is not wire.LogEntryType.MEMBERS:
             return
         voters = _list_voters(entry)
         for index in range(entry.index - 1, 0, -1):
             earlier = self.committed[index]
-            if earlier.type is wire.EntryType.MEMBERS:
+            if earlier.type is wire.LogEntryType.MEMBERS:
                 difference = voters ^ _list_voters(earlier)
                 assert len(difference) <= 1, 'two voters changed at once'
                 return
--- a/tests/test_consensus_core.py
+++ b/tests/test_consensus_core.py
@@ -37,7 +37,7 @@
                 confirmations += group.confirmations
                 installs += group.installs
                 changes += sum(
-                    entry.type is wire.EntryType.MEMBERS
+                    entry.type is wire.LogEntryType.MEMBERS
                     for entry in group.committed.values()
                 )
         # Ensure that the runs reached what the simulation checks.
@@ -384,8 +384,8 @@
             0.0,
         )
         malformed_batches = [
-            [wire.LogEntry(7, 1, wire.EntryType.COMMAND, b'x')],
-            [wire.LogEntry(1, 1, wire.EntryType.MEMBERS, b'\xc1')],
+            [wire.LogEntry(7, 1, wire.LogEntryType.COMMAND, b'x')],
+            [wire.LogEntry(1, 1, wire.LogEntryType.MEMBERS, b'\xc1')],
         ]
         for entries in malformed_batches:
             request = wire.AppendRequest(
@@ -413,8 +413,8 @@
             ]
         )
         entries = (
-            wire.LogEntry(1, 1, wire.EntryType.COMMAND, b'1'),
-            wire.LogEntry(2, 2, wire.EntryType.COMMAND, b'2'),
+            wire.LogEntry(1, 1, wire.LogEntryType.COMMAND, b'1'),
+            wire.LogEntry(2, 2, wire.LogEntryType.COMMAND, b'2'),
         )
         self.replica = _core.Replica(
             _core_types.ReplicaConfig(member_id='n0'),
--- a/tests/test_consensus_storage.py
+++ b/tests/test_consensus_storage.py
@@ -19,7 +19,9 @@
 def make_entries(first: int, count: int, term: int = 1) -> list[wire.LogEntry]:
     """Return `count` entries with data, starting at index `first`."""
     return [
-        wire.LogEntry(index, term, wire.EntryType.COMMAND, b'data %d' % index)
+        wire.LogEntry(
+            index, term, wire.LogEntryType.COMMAND, b'data %d' % index
+        )
         for index in range(first, first + count)
     ]
 
