--- a/fulmarseam/settings/__init__.py
+++ b/fulmarseam/settings/__init__.py
@@ -18,7 +18,7 @@
 from fulmarseam.settings._load import LoadRoute
 from fulmarseam.settings._load import LoadSettings
 from fulmarseam.settings._loading import load_settings
-from fulmarseam.settings._loading import read_settings
+from fulmarseam.settings._loading import parse_settings
 from fulmarseam.settings._options import address
 from fulmarseam.settings._options import boolean
 from fulmarseam.settings._options import Check
@@ -65,7 +65,7 @@
     'number',
     'option',
     'optional',
-    'read_settings',
+    'parse_settings',
     'section',
     'text',
 ]
--- a/fulmarseam/settings/_loading.py
+++ b/fulmarseam/settings/_loading.py
@@ -24,10 +24,10 @@
         raise errors.SettingsError(
             [f'{path}: cannot be read: {error.strerror}']
         ) from error
-    return read_settings(content, schema, path)
+    return parse_settings(content, schema, path)
 
 
-def read_settings(
+def parse_settings(
     content: str, schema: type[SchemaT], source: str = '<text>'
 ) -> SchemaT:
     """Check YAML text against a schema.
--- a/tests/control_fixtures.py
+++ b/tests/control_fixtures.py
@@ -41,7 +41,7 @@
 
 def read_control(content: str) -> settings.ControlSettings:
     """Return the settings that a YAML text holds."""
-    return settings.read_settings(content, settings.ControlSettings)
+    return settings.parse_settings(content, settings.ControlSettings)
 
 
 def make_info(
--- a/tests/test_configuration_page.py
+++ b/tests/test_configuration_page.py
@@ -45,8 +45,8 @@
 
     def test_examples_are_accepted(self) -> None:
         control, entry = EXAMPLE.findall(CATALOG_PAGE)
-        settings.read_settings(control, settings.CatalogSettings)
-        settings.read_settings(entry, settings.GatewaySettings)
+        settings.parse_settings(control, settings.CatalogSettings)
+        settings.parse_settings(entry, settings.GatewaySettings)
 
 
 class ConfigurationPageTest(unittest.TestCase):
@@ -74,9 +74,9 @@
 
     def test_examples_are_accepted(self) -> None:
         control, entry, ctl, tables = EXAMPLE.findall(PAGE)
-        settings.read_settings(control, settings.ControlSettings)
-        settings.read_settings(entry, settings.EntrySettings)
-        settings.read_settings(ctl, settings.CtlSettings)
+        settings.parse_settings(control, settings.ControlSettings)
+        settings.parse_settings(entry, settings.EntrySettings)
+        settings.parse_settings(ctl, settings.CtlSettings)
         with tempfile.NamedTemporaryFile('w', suffix='.yaml') as file:
             file.write(tables)
             file.flush()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -192,7 +192,7 @@
         return re.sub(r'\{\{(.+?)\}\}', lambda match: FIELDS[match[1]], text)
 
     def test_the_control_template_yields_valid_settings(self) -> None:
-        loaded = settings.read_settings(
+        loaded = settings.parse_settings(
             self._fill('control.yaml'), settings.CatalogSettings
         )
         self.assertEqual(
@@ -203,7 +203,7 @@
         self.assertTrue(loaded.first_start)
 
     def test_the_entry_template_yields_valid_settings(self) -> None:
-        loaded = settings.read_settings(
+        loaded = settings.parse_settings(
             self._fill('entry.yaml'), settings.GatewaySettings
         )
         self.assertEqual(loaded.retry_slack, 56.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -20,14 +20,14 @@
     """Guards against wrong settings that pass unnoticed."""
 
     def test_valid_file_gets_defaults(self) -> None:
-        loaded = settings.read_settings(VALID, settings.EntrySettings)
+        loaded = settings.parse_settings(VALID, settings.EntrySettings)
         self.assertEqual('e1', loaded.entry_id)
         self.assertEqual(3_000, loaded.config_lease_ms)
 
     def test_all_problems_are_reported_together(self) -> None:
         content = VALID.replace('ost-a', 'OST A') + 'lookup_ttl_ms: 5\nx: 1\n'
         with self.assertRaises(errors.SettingsError) as caught:
-            settings.read_settings(content, settings.EntrySettings, 'f.yaml')
+            settings.parse_settings(content, settings.EntrySettings, 'f.yaml')
         problems = '\n'.join(caught.exception.problems)
         self.assertIn("f.yaml: failure_domain: found 'OST A'", problems)
         self.assertIn(
@@ -52,7 +52,7 @@
 members: {{{members}}}
 """
         with self.assertRaises(errors.SettingsError) as caught:
-            settings.read_settings(content, settings.ControlSettings)
+            settings.parse_settings(content, settings.ControlSettings)
         self.assertIn('members in region a: found 3', str(caught.exception))
 
 
