--- a/fulmarseam/control/_page.py
+++ b/fulmarseam/control/_page.py
@@ -33,10 +33,12 @@
             raise errors.FulmarseamError(
                 errors.ErrorKind.METHOD_NOT_ALLOWED, 'expected GET'
             )
-        caller.answer(200, _TEXT, self._metrics.render().encode())
+        caller.send_response(200, _TEXT, self._metrics.render().encode())
 
 
-def make_answer(error: errors.FulmarseamError) -> http.OwnAnswer:
+def make_answer(error: errors.FulmarseamError) -> http.LocalResponse:
     """Return the answer for an error."""
     body = json.dumps({'kind': error.kind.value, 'detail': error.detail})
-    return http.OwnAnswer(error.answer.status, _JSON, body.encode() + b'\n')
+    return http.LocalResponse(
+        error.answer.status, _JSON, body.encode() + b'\n'
+    )
--- a/fulmarseam/entry/_answers.py
+++ b/fulmarseam/entry/_answers.py
@@ -34,7 +34,7 @@
         self.methods = methods
 
 
-def make_error_response(error: errors.FulmarseamError) -> http.OwnAnswer:
+def make_error_response(error: errors.FulmarseamError) -> http.LocalResponse:
     """Return the response for an error."""
     answer = error.answer
     retry_after_ms = None
@@ -54,7 +54,7 @@
         (KIND_HEADER, error.kind.value.encode()),
     ]
     headers.extend(_make_extra_headers(error))
-    return http.OwnAnswer(answer.status, headers, body.encode() + b'\n')
+    return http.LocalResponse(answer.status, headers, body.encode() + b'\n')
 
 
 def _make_extra_headers(error: errors.FulmarseamError) -> http.Headers:
--- a/fulmarseam/entry/_api.py
+++ b/fulmarseam/entry/_api.py
@@ -21,7 +21,7 @@
 TEXT_HEADERS = [(b'content-type', b'text/plain; charset=utf-8')]
 
 _Handler = Callable[
-    [http.Request, http.CallerConnection], Awaitable[http.OwnAnswer]
+    [http.Request, http.CallerConnection], Awaitable[http.LocalResponse]
 ]
 _report_decoder = msgspec.json.Decoder(wire.TargetReport)
 
@@ -61,7 +61,7 @@
         handler = self._handlers.get((method, path))
         if handler is None:
             raise self._make_path_error(path)
-        caller.answer(*await handler(request, caller))
+        caller.send_response(*await handler(request, caller))
 
     def _make_path_error(self, path: bytes) -> errors.FulmarseamError:
         kind = errors.ErrorKind.NOT_FOUND
@@ -71,7 +71,7 @@
 
     async def _look_up(
         self, request: http.Request, caller: http.CallerConnection
-    ) -> http.OwnAnswer:
+    ) -> http.LocalResponse:
         query = request.target.partition(b'?')[2].decode('latin-1')
         fields = dict(urllib.parse.parse_qsl(query)) if query else {}
         address = fields.get('address') or caller.remote_address
@@ -80,19 +80,19 @@
 
     async def _show_status(
         self, request: http.Request, caller: http.CallerConnection
-    ) -> http.OwnAnswer:
+    ) -> http.LocalResponse:
         body = msgspec.json.encode(self._make_status())
-        return http.OwnAnswer(200, JSON_HEADERS, body + b'\n')
+        return http.LocalResponse(200, JSON_HEADERS, body + b'\n')
 
     async def _show_metrics(
         self, request: http.Request, caller: http.CallerConnection
-    ) -> http.OwnAnswer:
+    ) -> http.LocalResponse:
         body = self._metrics.render().encode()
-        return http.OwnAnswer(200, TEXT_HEADERS, body)
+        return http.LocalResponse(200, TEXT_HEADERS, body)
 
     async def _accept_announcement(
         self, request: http.Request, caller: http.CallerConnection
-    ) -> http.OwnAnswer:
+    ) -> http.LocalResponse:
         body = await http.read_body(caller, MAX_BODY_BYTES)
         try:
             report = _report_decoder.decode(body)
@@ -103,7 +103,7 @@
         validate_report(report)
         event = self._announce(report)
         await _announcements.wait_until_acknowledged(event)
-        return http.OwnAnswer(200, JSON_HEADERS, b'{}\n')
+        return http.LocalResponse(200, JSON_HEADERS, b'{}\n')
 
 
 def validate_report(report: wire.TargetReport) -> None:
--- a/fulmarseam/entry/_claims.py
+++ b/fulmarseam/entry/_claims.py
@@ -93,7 +93,7 @@
             *stored_answer.headers,
             (_answers.OUTCOME_HEADER, _attempts.ANSWERED),
         ]
-        self._context.caller.answer(
+        self._context.caller.send_response(
             stored_answer.status, headers, stored_answer.body
         )
 
--- a/fulmarseam/entry/_lookups.py
+++ b/fulmarseam/entry/_lookups.py
@@ -25,7 +25,7 @@
     ) -> None:
         self._options = options
         self._state = state
-        self._cache: dict[tuple[ids.RegionName, int], http.OwnAnswer] = {}
+        self._cache: dict[tuple[ids.RegionName, int], http.LocalResponse] = {}
         self._max_age = b'max-age=%d' % (options.lookup_ttl_ms // 1_000)
 
     def clear_cache(self) -> None:
@@ -50,7 +50,7 @@
 
     def answer(
         self, region: str | None, address: str, if_none_match: bytes | None
-    ) -> http.OwnAnswer:
+    ) -> http.LocalResponse:
         """Return the answer for a caller.
 
         `if_none_match` is the entity tag that the caller has cached.
@@ -62,12 +62,12 @@
             answer = self._make_answer(caller_region, caller_group)
             self._cache[caller_region, caller_group] = answer
         if if_none_match is not None and if_none_match == answer.headers[1][1]:
-            return http.OwnAnswer(304, answer.headers, b'')
+            return http.LocalResponse(304, answer.headers, b'')
         return answer
 
     def _make_answer(
         self, region: ids.RegionName, caller_group: int
-    ) -> http.OwnAnswer:
+    ) -> http.LocalResponse:
         entries = steering.order_entries(
             self._state.entries.values(),
             region,
@@ -82,7 +82,7 @@
         }
         body = json.dumps(content, separators=(',', ':')).encode()
         etag = b'"%08x"' % zlib.crc32(body)
-        return http.OwnAnswer(
+        return http.LocalResponse(
             200,
             [
                 (b'cache-control', self._max_age),
--- a/fulmarseam/gateway/_answers.py
+++ b/fulmarseam/gateway/_answers.py
@@ -18,7 +18,7 @@
 }
 
 
-def make_answer(error: errors.FulmarseamError) -> http.OwnAnswer:
+def make_answer(error: errors.FulmarseamError) -> http.LocalResponse:
     """Return the answer that tells a caller about an error."""
     answer = error.answer
     body = json.dumps(
@@ -32,4 +32,4 @@
     retry_after_s = RETRY_AFTER_S.get(error.kind)
     if retry_after_s is not None:
         headers.append((b'retry-after', b'%.2f' % retry_after_s))
-    return http.OwnAnswer(answer.status, headers, body.encode() + b'\n')
+    return http.LocalResponse(answer.status, headers, body.encode() + b'\n')
--- a/fulmarseam/gateway/_daemon.py
+++ b/fulmarseam/gateway/_daemon.py
@@ -113,10 +113,10 @@
         path = request.target.partition(b'?')[0].decode('latin-1')
         if path == self._http_names.readiness_path:
             status = 200 if self.is_ready() else 503
-            caller.answer(status, [], b'')
+            caller.send_response(status, [], b'')
         elif path == METRICS_PATH:
             page = self.metrics.render().encode()
-            caller.answer(200, [(b'content-type', b'text/plain')], page)
+            caller.send_response(200, [(b'content-type', b'text/plain')], page)
         else:
             raise errors.FulmarseamError(errors.ErrorKind.NOT_FOUND, path)
 
--- a/fulmarseam/http/__init__.py
+++ b/fulmarseam/http/__init__.py
@@ -3,7 +3,7 @@
 A server calls its handler once for each request::
 
     async def handle(request, caller):
-        caller.answer(200, [], b'hello')
+        caller.send_response(200, [], b'hello')
 
     async with http.Server('127.0.0.1:8000', handle, answer_error):
         ...
@@ -37,7 +37,7 @@
 from fulmarseam.http._limits import Limits
 from fulmarseam.http._pool import TargetPool
 from fulmarseam.http._pool import TargetPools
-from fulmarseam.http._server import OwnAnswer
+from fulmarseam.http._server import LocalResponse
 from fulmarseam.http._server import Server
 from fulmarseam.http._server import split_address
 from fulmarseam.http._signal import Signal
@@ -51,7 +51,7 @@
     'HOP_BY_HOP',
     'Headers',
     'Limits',
-    'OwnAnswer',
+    'LocalResponse',
     'Progress',
     'Reason',
     'Request',
--- a/fulmarseam/http/_caller.py
+++ b/fulmarseam/http/_caller.py
@@ -359,7 +359,7 @@
         self.transport.write(out[0] if len(out) == 1 else b''.join(out))
         self._out = []
 
-    def answer(
+    def send_response(
         self, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes
     ) -> None:
         """Send a whole answer; its length is added to the headers."""
@@ -377,7 +377,7 @@
         if self._idle:
             # The message was refused before it became a request.
             self._method = b''
-        self.answer(status, headers, body)
+        self.send_response(status, headers, body)
 
     def is_idle(self) -> bool:
         """Return whether no part of a request has arrived."""
--- a/fulmarseam/http/_server.py
+++ b/fulmarseam/http/_server.py
@@ -29,7 +29,7 @@
 _log = logbook.Logger('http')
 
 
-class OwnAnswer(NamedTuple):
+class LocalResponse(NamedTuple):
     """An answer made by the server itself."""
 
     status: int
@@ -37,7 +37,7 @@
     body: bytes
 
 
-AnswerError = Callable[[errors.FulmarseamError], OwnAnswer]
+AnswerError = Callable[[errors.FulmarseamError], LocalResponse]
 
 
 class Server:
@@ -193,7 +193,7 @@
             if connection.response_started:
                 raise
             answer = self._answer_error(error)
-            connection.answer(*answer)
+            connection.send_response(*answer)
         except (_failures.CallerGoneError, asyncio.CancelledError):
             raise
         except Exception:
--- a/fulmarseam/platform/_control_api.py
+++ b/fulmarseam/platform/_control_api.py
@@ -57,11 +57,11 @@
             elif path.startswith(TARGETS_PATH):
                 target = parse.unquote(path.removeprefix(TARGETS_PATH))
                 await self._handle_target(method, target, body)
-                caller.answer(200, JSON_HEADERS, b'{}')
+                caller.send_response(200, JSON_HEADERS, b'{}')
             elif path.startswith(EVACUATION_PATH):
                 domain = parse.unquote(path.removeprefix(EVACUATION_PATH))
                 await self._handle_evacuation(method, domain)
-                caller.answer(200, JSON_HEADERS, b'{}')
+                caller.send_response(200, JSON_HEADERS, b'{}')
             else:
                 raise errors.FulmarseamError(errors.ErrorKind.NOT_FOUND, path)
         except _values.UnreadableError as error:
@@ -80,7 +80,7 @@
         if method == 'GET':
             await self._member.wait_until_current()
             items = self._member.catalog.items.list_live()
-            caller.answer(200, JSON_HEADERS, _items.write_items(items))
+            caller.send_response(200, JSON_HEADERS, _items.write_items(items))
             return
         _require_method(method, 'PATCH')
         items = _items.read_call(body)
@@ -102,7 +102,7 @@
         )
         if result.problems:
             raise _values.UnreadableError('; '.join(result.problems))
-        caller.answer(200, JSON_HEADERS, b'{}')
+        caller.send_response(200, JSON_HEADERS, b'{}')
 
     async def _handle_target(
         self, method: str, target: str, body: bytes
@@ -156,7 +156,7 @@
                 'ttl': _values.format_seconds(self._lookup_ttl_s),
             }
         )
-        caller.answer(200, JSON_HEADERS, body.encode())
+        caller.send_response(200, JSON_HEADERS, body.encode())
 
 
 def _split_target(request: http.Request) -> tuple[str, str]:
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -15,9 +15,9 @@
 LAST_GET = b'GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n'
 
 
-def answer_error(error: errors.FulmarseamError) -> http.OwnAnswer:
+def answer_error(error: errors.FulmarseamError) -> http.LocalResponse:
     """Return a plain answer for an error."""
-    return http.OwnAnswer(
+    return http.LocalResponse(
         error.answer.status, [(b'x-kind', error.kind.value.encode())], b''
     )
 
@@ -62,7 +62,7 @@
         self, request: http.Request, caller: http.CallerConnection
     ) -> None:
         body = await read_whole_body(caller)
-        caller.answer(200, [], request.target + b' ' + body)
+        caller.send_response(200, [], request.target + b' ' + body)
 
     async def connect(
         self,
@@ -205,7 +205,7 @@
             request: http.Request, caller: http.CallerConnection
         ) -> None:
             status = int(request.target[1:] or b'200')
-            caller.answer(status, [], b'' if status == 204 else b'abc')
+            caller.send_response(status, [], b'' if status == 204 else b'abc')
 
         self.handler = answer
         data = (
@@ -248,7 +248,7 @@
         async def answer_early(
             request: http.Request, caller: http.CallerConnection
         ) -> None:
-            caller.answer(200, [], b'early')
+            caller.send_response(200, [], b'early')
 
         self.handler = answer_early
         body = LAST_GET
@@ -361,7 +361,7 @@
             connections.append(caller)
             await done.wait()
             body = await read_whole_body(caller)
-            caller.answer(200, [], b'%d' % len(body))
+            caller.send_response(200, [], b'%d' % len(body))
 
         self.handler = ignore
         size = 32 * 1024 * 1024
@@ -405,7 +405,7 @@
             request: http.Request, caller: http.CallerConnection
         ) -> None:
             await release.wait()
-            caller.answer(200, [], b'done')
+            caller.send_response(200, [], b'done')
 
         self.handler = wait
         idle_reader, _ = await self.connect()
