--- a/fulmarseam/entry/_attempts.py
+++ b/fulmarseam/entry/_attempts.py
@@ -120,7 +120,7 @@
             self._context.request.method,
             self._context.path.encode('latin-1'),
             self._make_request_headers(),
-            are_checked=True,
+            headers_validated=True,
         )
         for piece in self._context.replay_pieces:
             connection.send_data(piece)
@@ -193,7 +193,7 @@
         headers = http.drop_headers(response.headers, response.fields, dropped)
         headers.append((_answers.OUTCOME_HEADER, ANSWERED))
         self._caller.start_response(
-            response.status, headers, response.reason, are_checked=True
+            response.status, headers, response.reason, headers_validated=True
         )
 
     async def _forward_body(self, connection: http.TargetConnection) -> None:
--- a/fulmarseam/gateway/_attempts.py
+++ b/fulmarseam/gateway/_attempts.py
@@ -135,7 +135,7 @@
             context.request.method,
             context.request_path,
             self._make_headers(),
-            are_checked=True,
+            headers_validated=True,
         )
         for chunk in context.kept:
             connection.send_data(chunk)
--- a/fulmarseam/gateway/_forwarding.py
+++ b/fulmarseam/gateway/_forwarding.py
@@ -324,14 +324,17 @@
                 length = b'%d' % len(answer.body)
                 headers.append((b'content-length', length))
             context.caller.start_response(
-                response.status, headers, response.reason, are_checked=True
+                response.status,
+                headers,
+                response.reason,
+                headers_validated=True,
             )
             if answer.body:
                 context.caller.send_data(answer.body)
             context.caller.end_response()
             return
         context.caller.start_response(
-            response.status, headers, response.reason, are_checked=True
+            response.status, headers, response.reason, headers_validated=True
         )
         try:
             await attempt.stream_body()
--- a/fulmarseam/http/_caller.py
+++ b/fulmarseam/http/_caller.py
@@ -301,13 +301,13 @@
         status: int,
         headers: Iterable[tuple[bytes, bytes]],
         reason: bytes = b'',
-        are_checked: bool = False,
+        headers_validated: bool = False,
     ) -> None:
         """Queue the head of the answer.
 
         Without a length in `headers` the body is sent chunked. A request
         body that has not been read ends the connection after the answer.
-        `are_checked` headers have been read by h11 and are not checked
+        `headers_validated` headers have been read by h11 and are not checked
         again, which saves 12 us.
         """
         fields = list(headers)
@@ -318,7 +318,7 @@
             status_code=status,
             headers=fields,
             reason=reason or REASONS.get(status, b''),
-            _parsed=are_checked,
+            _parsed=headers_validated,
         )
         if self._method == b'HEAD' or status in (204, 304):
             self._answer_left = 0
--- a/fulmarseam/http/_target.py
+++ b/fulmarseam/http/_target.py
@@ -71,12 +71,12 @@
         method: bytes,
         target: bytes,
         headers: Headers,
-        are_checked: bool = False,
+        headers_validated: bool = False,
     ) -> None:
         """Queue the head of a request.
 
         The body is framed by `content-length` or `transfer-encoding` in
-        `headers`, or empty without either. `are_checked` headers have been
+        `headers`, or empty without either. `headers_validated` headers have been
         read by h11 and are not checked again, which saves 12 us.
         """
         fields = dict(headers)
@@ -88,7 +88,10 @@
         if b'transfer-encoding' not in fields:
             self._request_left = _framing.find_length(fields) or 0
         event = h11.Request(
-            method=method, target=target, headers=headers, _parsed=are_checked
+            method=method,
+            target=target,
+            headers=headers,
+            _parsed=headers_validated,
         )
         self._out.append(self._h11.send(event))
 
