--- a/fulmarseam/gateway/_attempts.py
+++ b/fulmarseam/gateway/_attempts.py
@@ -101,7 +101,7 @@
         connection = self._connection
         if connection is None or not self._is_reused or self.has_answered:
             return False
-        self._pool.note_lost_idle(connection.idle_s)
+        self._pool.lower_idle_timeout(connection.idle_before_request_s)
         return True
 
     def close(self) -> None:
@@ -122,7 +122,7 @@
         self._send(connection)
         response = await self._wait_for_response(connection)
         self.has_answered = True
-        self._pool.note_keep_alive(response)
+        self._pool.apply_keep_alive(response)
         self.load_report = response.fields.get(self._http_names.load, b'')
         self._check_response(response)
         return Answer(response, await self._buffer_body(connection))
@@ -192,7 +192,7 @@
                 await self._wait_for_event(self._first_byte_deadline)
             elif self._is_reused and self._answers_other_request(response):
                 await self._skip_body(connection)
-                connection.expect_another()
+                connection.expect_next_response()
             else:
                 return response
 
--- a/fulmarseam/http/_pool.py
+++ b/fulmarseam/http/_pool.py
@@ -64,12 +64,12 @@
                 connection.abort()
                 continue
             connection.signal = signal
-            connection.idle_s = now - connection.idle_since
+            connection.idle_before_request_s = now - connection.idle_since
             self.in_use += 1
             return connection
         return None
 
-    def note_keep_alive(self, response: _target.Response) -> None:
+    def apply_keep_alive(self, response: _target.Response) -> None:
         """Take over how long the target keeps idle connections."""
         stated = _KEEP_ALIVE.search(response.fields.get(b'keep-alive', b''))
         if stated is None:
@@ -77,7 +77,7 @@
         idle_s = max(0.0, int(stated[1]) - KEEP_ALIVE_MARGIN_S)
         self.idle_timeout_s = min(idle_s, self._idle_cap_s)
 
-    def note_lost_idle(self, idle_s: float) -> None:
+    def lower_idle_timeout(self, idle_s: float) -> None:
         """Note that a connection was lost after it had been idle.
 
         Connections that were idle for half as long are not used again, and
--- a/fulmarseam/http/_target.py
+++ b/fulmarseam/http/_target.py
@@ -56,7 +56,7 @@
         self.request_done = False
         self.idle_since = 0.0
         # How long the connection was idle before its present request.
-        self.idle_s = 0.0
+        self.idle_before_request_s = 0.0
         self.on_idle_event: Any = None
 
     def handle_idle_event(self) -> None:
@@ -287,7 +287,7 @@
     ) -> _failures.TargetError:
         return _failures.TargetError(reason, self.progress, detail)
 
-    def expect_another(self) -> None:
+    def expect_next_response(self) -> None:
         """Get ready for the response that follows one that was read.
 
         A target may send a response twice; the second one arrives in
