--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -210,7 +210,7 @@
     def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
         observe = self.metrics.observe
-        observe('requests_running', lambda: self.caller_server.busy)
+        observe('requests_running', lambda: self.caller_server.active_requests)
         observe('caller_connections', lambda: self.caller_server.connections)
         observe('targets_ready', lambda: len(self.state.targets.ready()))
         observe('requests_in_flight', self.state.slots.total_in_flight)
@@ -268,9 +268,11 @@
         self.caller_server.announce_close()
         await asyncio.sleep(CLOSE_NOTICE_S)
         self.caller_server.close_listener()
-        self._log_event('drain_listener_closed', busy=self.caller_server.busy)
+        self._log_event(
+            'drain_listener_closed', busy=self.caller_server.active_requests
+        )
         self.caller_server.start_draining()
-        await self.caller_server.wait_until_idle()
+        await self.caller_server.wait_closed()
         unstored = await self.claims.flush(FLUSH_TIMEOUT_S)
         drain_s = self._loop.time() - started
         self._log_event('drained', drain_s=drain_s, unstored=unstored)
@@ -289,7 +291,9 @@
                 incarnation=self.reporter.incarnation,
             )
         )
-        self._log_event('drain_started', busy=self.caller_server.busy)
+        self._log_event(
+            'drain_started', busy=self.caller_server.active_requests
+        )
 
     def _log_event(self, event: str, **fields: object) -> None:
         _log.info(telemetry.format_event(event, **fields))
--- a/fulmarseam/gateway/_daemon.py
+++ b/fulmarseam/gateway/_daemon.py
@@ -75,7 +75,7 @@
     def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
         observe = self.metrics.observe
-        observe('requests_running', lambda: self.caller_server.busy)
+        observe('requests_running', lambda: self.caller_server.active_requests)
         observe('caller_connections', lambda: self.caller_server.connections)
         observe('revision', lambda: self.mirror.revision)
         observe('targets_ready', self.load_balancer.count_ready)
@@ -157,7 +157,7 @@
         self.caller_server.announce_close()
         _log.info(
             telemetry.format_event(
-                'drain_started', busy=self.caller_server.busy
+                'drain_started', busy=self.caller_server.active_requests
             )
         )
         await asyncio.sleep(grace * LISTEN_GRACE_FRACTION)
@@ -168,11 +168,11 @@
         )
         try:
             async with asyncio.timeout(remaining_s):
-                await self.caller_server.wait_until_idle()
+                await self.caller_server.wait_closed()
         except TimeoutError:
             _log.warning(
                 telemetry.format_event(
-                    'drain_cut_short', busy=self.caller_server.busy
+                    'drain_cut_short', busy=self.caller_server.active_requests
                 )
             )
         _log.info(
--- a/fulmarseam/http/_server.py
+++ b/fulmarseam/http/_server.py
@@ -62,13 +62,13 @@
         self._listener: asyncio.Server | None = None
         self._sweeper: asyncio.Task[None] | None = None
         self._tasks: dict[asyncio.Task[None], _caller.CallerConnection] = {}
-        self._busy = 0
+        self._active_requests = 0
         self._draining = False
 
     @property
-    def busy(self) -> int:
+    def active_requests(self) -> int:
         """Return the number of requests being handled."""
-        return self._busy
+        return self._active_requests
 
     @property
     def connections(self) -> int:
@@ -129,7 +129,7 @@
             if connection.is_idle():
                 connection.expire()
 
-    async def wait_until_idle(self) -> None:
+    async def wait_closed(self) -> None:
         """Return when no connection is left."""
         while self._tasks:
             await asyncio.wait(list(self._tasks))
@@ -186,7 +186,7 @@
     async def _handle(
         self, request: _caller.Request, connection: _caller.CallerConnection
     ) -> None:
-        self._busy += 1
+        self._active_requests += 1
         try:
             await self._handler(request, connection)
         except errors.FulmarseamError as error:
@@ -200,7 +200,7 @@
             _log.exception('event=handler_failed')
             raise errors.FulmarseamError(errors.ErrorKind.INTERNAL) from None
         finally:
-            self._busy -= 1
+            self._active_requests -= 1
 
     def _refuse(
         self,
--- a/tests/test_entry_api.py
+++ b/tests/test_entry_api.py
@@ -298,7 +298,9 @@
         idle_reader, _ = await self.connect(self.options.listen)
         persistent, writer = await self.connect(self.options.listen)
         slow_call = asyncio.create_task(self.call('/slow'))
-        await self.wait_until(lambda: self.entry.caller_server.busy == 1)
+        await self.wait_until(
+            lambda: self.entry.caller_server.active_requests == 1
+        )
         started = asyncio.get_running_loop().time()
         self.entry.stop_requested.set()
         await self.wait_until(lambda: self.leader.requests[-1].draining)
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -178,9 +178,13 @@
         await self.wait_until(lambda: self.running == 1)
         _, writer = await self.connect(self.options.listen)
         writer.write(b'GET /gone HTTP/1.1\r\nHost: a\r\n\r\n')
-        await self.wait_until(lambda: self.entry.caller_server.busy == 2)
+        await self.wait_until(
+            lambda: self.entry.caller_server.active_requests == 2
+        )
         writer.close()
-        await self.wait_until(lambda: self.entry.caller_server.busy == 1)
+        await self.wait_until(
+            lambda: self.entry.caller_server.active_requests == 1
+        )
         release.set()
         await first
         answer = await self.call('/b')
@@ -244,7 +248,9 @@
         )
         # More requests wait in the queue when the target fails.
         waiting += [asyncio.create_task(self.call('/same')) for _ in range(9)]
-        await self.wait_until(lambda: self.entry.caller_server.busy == 11)
+        await self.wait_until(
+            lambda: self.entry.caller_server.active_requests == 11
+        )
         self.leader.slots['t1'] = 0
         await self.start_target(crash, 't2', slots=2)
         release.set()
@@ -275,7 +281,9 @@
             wire.StrikeNotice(fingerprint=held_fingerprint, target='t9')
         )
         held = [asyncio.create_task(self.call('/held')) for _ in range(2)]
-        await self.wait_until(lambda: self.entry.caller_server.busy == 2)
+        await self.wait_until(
+            lambda: self.entry.caller_server.active_requests == 2
+        )
         await asyncio.sleep(0.05)
         self.assertEqual(1, self.entry.state.slots.total_in_flight())
         answer = await self.call('/other')
@@ -476,7 +484,9 @@
 
         with mock.patch.object(self.record_client, 'claim', claim_late):
             waiting = asyncio.create_task(self.post())
-            await self.wait_until(lambda: self.entry.caller_server.busy == 1)
+            await self.wait_until(
+                lambda: self.entry.caller_server.active_requests == 1
+            )
             await asyncio.sleep(0.1)
             self.assertEqual(0, self.entry.state.slots.total_in_flight())
             self.assertEqual(200, (await waiting).status)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -349,7 +349,7 @@
         self.assertLess(max(sizes), 4 * 65_536)
         writer.transport.abort()
         await asyncio.sleep(0.05)
-        self.assertEqual(0, self.server.busy)
+        self.assertEqual(0, self.server.active_requests)
 
     async def test_unread_upload_is_stopped(self) -> None:
         connections: list[http.CallerConnection] = []
@@ -396,7 +396,7 @@
         writer.close()
         async with asyncio.timeout(TIMEOUT_S):
             await noticed.wait()
-            await self.server.wait_until_idle()
+            await self.server.wait_closed()
 
     async def test_draining_finishes_requests_and_closes(self) -> None:
         release = asyncio.Event()
@@ -418,6 +418,6 @@
             self.assertEqual(b'', await idle_reader.read())
             release.set()
             answer = await reader.read()
-            await self.server.wait_until_idle()
+            await self.server.wait_closed()
         self.assertIn(b'done', answer)
         self.assertIn(b'connection: close', answer.lower())
