--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -386,7 +386,7 @@
             await asyncio.sleep(RENEWAL_INTERVAL_S)
             renewed = self._heartbeats.take_renewed()
             status = self._member.status() if self._member else None
-            self._clients.keep(
+            self._clients.close_all_except(
                 {info.address for info in status.members} if status else ()
             )
             if self.leads():
--- a/fulmarseam/gateway/_poller.py
+++ b/fulmarseam/gateway/_poller.py
@@ -105,7 +105,7 @@
             if is_expired and address not in self._seeds:
                 del self._listed_at[address]
                 self._tasks.pop(address).cancel()
-        self._clients.keep(set(self._tasks))
+        self._clients.close_all_except(set(self._tasks))
 
     async def _poll_member(self, address: str) -> None:
         while True:
--- a/fulmarseam/transport/_rpc.py
+++ b/fulmarseam/transport/_rpc.py
@@ -214,7 +214,7 @@
 class RpcClients:
     """Clients by address; a context manager.
 
-    A client is opened at its first call and closed when `keep` leaves its
+    A client is opened at its first call and closed when `close_all_except` leaves its
     address out.
     """
 
@@ -225,9 +225,9 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        self.keep(())
+        self.close_all_except(())
 
-    def keep(self, addresses: Collection[str]) -> None:
+    def close_all_except(self, addresses: Collection[str]) -> None:
         """Close the clients of all other addresses."""
         for address in self._clients.keys() - set(addresses):
             self._clients.pop(address).close()
