--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -75,15 +75,17 @@
 
     def _observe(self) -> None:
         """Register the gauges of the metrics page."""
-        observe = self.metrics.observe
-        observe('revision', lambda: self.catalog.revision)
-        observe('targets', lambda: len(self.catalog.targets.all()))
-        observe(
+        register_gauge = self.metrics.register_gauge
+        register_gauge('revision', lambda: self.catalog.revision)
+        register_gauge('targets', lambda: len(self.catalog.targets.all()))
+        register_gauge(
             'entries', lambda: self.entry_registry.count_senders(self._now())
         )
-        observe('leads', lambda: self.leads())
-        observe('term', lambda: self._status_value('term'))
-        observe('commit_index', lambda: self._status_value('commit_index'))
+        register_gauge('leads', lambda: self.leads())
+        register_gauge('term', lambda: self._status_value('term'))
+        register_gauge(
+            'commit_index', lambda: self._status_value('commit_index')
+        )
 
     def _status_value(self, name: str) -> float:
         if self._member is None:
--- a/fulmarseam/control/_daemon.py
+++ b/fulmarseam/control/_daemon.py
@@ -77,10 +77,10 @@
 
     def _observe_state(self) -> None:
         """Register the gauges of the metrics page."""
-        observe = self.metrics.observe
-        observe('revision', lambda: float(self.machine.tables.revision))
-        observe('leading', lambda: float(self._leadership is not None))
-        observe('term', lambda: float(self.member.status().term))
+        register_gauge = self.metrics.register_gauge
+        register_gauge('revision', lambda: float(self.machine.tables.revision))
+        register_gauge('leading', lambda: float(self._leadership is not None))
+        register_gauge('term', lambda: float(self.member.status().term))
 
     def find_leadership(self) -> _leadership.Leadership | None:
         """Return the state of the term that this member leads, if any."""
--- a/fulmarseam/entry/_daemon.py
+++ b/fulmarseam/entry/_daemon.py
@@ -75,7 +75,7 @@
             self.reporter.make_request,
             self._raise_incarnation,
         )
-        self.metrics.observe(
+        self.metrics.register_gauge(
             'control_bytes_total',
             lambda: float(self.synchronizer.count_bytes()),
         )
@@ -209,13 +209,21 @@
 
     def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
-        observe = self.metrics.observe
-        observe('requests_running', lambda: self.caller_server.active_requests)
-        observe('caller_connections', lambda: self.caller_server.connections)
-        observe('targets_ready', lambda: len(self.state.targets.ready()))
-        observe('requests_in_flight', self.state.slots.total_in_flight)
-        observe('revision', lambda: self.state.tables.revision)
-        observe('takes_work', lambda: self.state.is_current(self._loop.time()))
+        register_gauge = self.metrics.register_gauge
+        register_gauge(
+            'requests_running', lambda: self.caller_server.active_requests
+        )
+        register_gauge(
+            'caller_connections', lambda: self.caller_server.connections
+        )
+        register_gauge(
+            'targets_ready', lambda: len(self.state.targets.ready())
+        )
+        register_gauge('requests_in_flight', self.state.slots.total_in_flight)
+        register_gauge('revision', lambda: self.state.tables.revision)
+        register_gauge(
+            'takes_work', lambda: self.state.is_current(self._loop.time())
+        )
 
     # Lifecycle
 
--- a/fulmarseam/gateway/_daemon.py
+++ b/fulmarseam/gateway/_daemon.py
@@ -74,13 +74,19 @@
 
     def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
-        observe = self.metrics.observe
-        observe('requests_running', lambda: self.caller_server.active_requests)
-        observe('caller_connections', lambda: self.caller_server.connections)
-        observe('revision', lambda: self.mirror.revision)
-        observe('targets_ready', self.load_balancer.count_ready)
-        observe('requests_in_flight', self.load_balancer.count_in_flight)
-        observe('senders', lambda: self.poller.senders)
+        register_gauge = self.metrics.register_gauge
+        register_gauge(
+            'requests_running', lambda: self.caller_server.active_requests
+        )
+        register_gauge(
+            'caller_connections', lambda: self.caller_server.connections
+        )
+        register_gauge('revision', lambda: self.mirror.revision)
+        register_gauge('targets_ready', self.load_balancer.count_ready)
+        register_gauge(
+            'requests_in_flight', self.load_balancer.count_in_flight
+        )
+        register_gauge('senders', lambda: self.poller.senders)
 
     def _apply_catalog(self) -> None:
         """Apply a changed catalog to routes, targets and limits."""
--- a/fulmarseam/telemetry/_metrics.py
+++ b/fulmarseam/telemetry/_metrics.py
@@ -37,7 +37,7 @@
         key = _make_key(name, labels)
         self._counters[key] = self._counters.get(key, 0) + amount
 
-    def counter(self, name: str, **labels: str) -> float:
+    def counter_value(self, name: str, **labels: str) -> float:
         """Return the value of a counter."""
         return self._counters.get(_make_key(name, labels), 0)
 
@@ -65,7 +65,7 @@
         value: int = histogram.get_value_at_percentile(percentile)
         return value / MICROSECONDS
 
-    def observe(
+    def register_gauge(
         self, name: str, read: Callable[[], float], **labels: str
     ) -> None:
         """Register a gauge that is read when the page is rendered."""
--- a/tests/test_entry_proxy.py
+++ b/tests/test_entry_proxy.py
@@ -93,7 +93,7 @@
         self.assertEqual('max-age=86400', answer.headers['cache-control'])
         self.assertEqual(
             2,
-            self.entry.metrics.counter(
+            self.entry.metrics.counter_value(
                 'retired_caller_requests_total',
                 route='old',
                 caller='127.0.0.1',
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -100,7 +100,7 @@
         second = await self.start_target(fakes.answer_always(OK), 't2')
         for _ in range(4):
             answer = await self.call('/', 'POST', b'abc')
-            if answer.status == 200 and self.entry.metrics.counter(
+            if answer.status == 200 and self.entry.metrics.counter_value(
                 'retries_total', pool=fakes.POOL
             ):
                 break
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -68,7 +68,7 @@
         metrics = telemetry.Metrics()
         metrics.add('requests_total', route='a"b')
         metrics.add('requests_total', 2, route='a"b')
-        metrics.observe('queue', lambda: 4)
+        metrics.register_gauge('queue', lambda: 4)
         for value in range(1, 101):
             metrics.record('latency_seconds', value / 1000)
         page = metrics.render()
