--- a/fulmarseam/http/_target.py
+++ b/fulmarseam/http/_target.py
@@ -76,8 +76,8 @@
         """Queue the head of a request.
 
         The body is framed by `content-length` or `transfer-encoding` in
-        `headers`, or empty without either. `headers_validated` headers have been
-        read by h11 and are not checked again, which saves 12 us.
+        `headers`, or empty without either. `headers_validated` headers have
+        been read by h11 and are not checked again, which saves 12 us.
         """
         fields = dict(headers)
         self.progress = _failures.Progress.NOT_SENT
--- a/fulmarseam/transport/_rpc.py
+++ b/fulmarseam/transport/_rpc.py
@@ -214,8 +214,8 @@
 class RpcClients:
     """Clients by address; a context manager.
 
-    A client is opened at its first call and closed when `close_all_except` leaves its
-    address out.
+    A client is opened at its first call and closed when `close_all_except`
+    leaves its address out.
     """
 
     def __init__(self) -> None:
