--- a/fulmarseam/control/_catalog.py
+++ b/fulmarseam/control/_catalog.py
@@ -75,15 +75,17 @@
 
     def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
-        observe = self.metrics.observe
-        observe('revision', lambda: self.catalog.revision)
-        observe('targets', lambda: len(self.catalog.targets.all()))
-        observe(
+        register_gauge = self.metrics.register_gauge
+        register_gauge('revision', lambda: self.catalog.revision)
+        register_gauge('targets', lambda: len(self.catalog.targets.all()))
+        register_gauge(
             'entries', lambda: self.entry_registry.count_senders(self._now())
         )
-        observe('leads', lambda: self.is_leader())
-        observe('term', lambda: self._read_status('term'))
-        observe('commit_index', lambda: self._read_status('commit_index'))
+        register_gauge('leads', lambda: self.is_leader())
+        register_gauge('term', lambda: self._read_status('term'))
+        register_gauge(
+            'commit_index', lambda: self._read_status('commit_index')
+        )
 
     def _read_status(self, name: str) -> float:
         if self._member is None:
@@ -387,7 +389,7 @@
             await asyncio.sleep(RENEWAL_INTERVAL_S)
             renewed = self._heartbeat_tracker.take_renewed()
             status = self._member.status() if self._member else None
-            self._clients.keep(
+            self._clients.close_all_except(
                 {info.address for info in status.members} if status else ()
             )
             if self.is_leader():
--- a/fulmarseam/gateway/_daemon.py
+++ b/fulmarseam/gateway/_daemon.py
@@ -74,13 +74,19 @@
 
     def _register_gauges(self) -> None:
         """Register the gauges of the metrics page."""
-        observe = self.metrics.observe
-        observe('requests_running', lambda: self.caller_server.busy)
-        observe('caller_connections', lambda: self.caller_server.connections)
-        observe('revision', lambda: self.mirror.revision)
-        observe('targets_ready', self.load_balancer.count_ready)
-        observe('requests_in_flight', self.load_balancer.count_in_flight)
-        observe('senders', lambda: self.poller.senders)
+        register_gauge = self.metrics.register_gauge
+        register_gauge(
+            'requests_running', lambda: self.caller_server.active_requests
+        )
+        register_gauge(
+            'caller_connections', lambda: self.caller_server.connections
+        )
+        register_gauge('revision', lambda: self.mirror.revision)
+        register_gauge('targets_ready', self.load_balancer.count_ready)
+        register_gauge(
+            'requests_in_flight', self.load_balancer.count_in_flight
+        )
+        register_gauge('senders', lambda: self.poller.senders)
 
     def _apply_catalog(self) -> None:
         """Apply a changed catalog to routes, targets and limits."""
@@ -113,10 +119,10 @@
         path = request.target.partition(b'?')[0].decode('latin-1')
         if path == self._http_names.readiness_path:
             status = 200 if self.is_ready() else 503
-            caller.answer(status, [], b'')
+            caller.send_response(status, [], b'')
         elif path == METRICS_PATH:
             page = self.metrics.render().encode()
-            caller.answer(200, [(b'content-type', b'text/plain')], page)
+            caller.send_response(200, [(b'content-type', b'text/plain')], page)
         else:
             raise errors.FulmarseamError(errors.ErrorKind.NOT_FOUND, path)
 
@@ -157,7 +163,7 @@
         self.caller_server.announce_close()
         _log.info(
             telemetry.format_event(
-                'drain_started', busy=self.caller_server.busy
+                'drain_started', busy=self.caller_server.active_requests
             )
         )
         await asyncio.sleep(grace * LISTEN_GRACE_FRACTION)
@@ -168,11 +174,11 @@
         )
         try:
             async with asyncio.timeout(remaining_s):
-                await self.caller_server.wait_until_idle()
+                await self.caller_server.wait_closed()
         except TimeoutError:
             _log.warning(
                 telemetry.format_event(
-                    'drain_cut_short', busy=self.caller_server.busy
+                    'drain_cut_short', busy=self.caller_server.active_requests
                 )
             )
         _log.info(
--- a/fulmarseam/http/_target.py
+++ b/fulmarseam/http/_target.py
@@ -56,7 +56,7 @@
         self.request_done = False
         self.idle_since = 0.0
         # How long the connection was idle before its present request.
-        self.idle_s = 0.0
+        self.idle_before_request_s = 0.0
         self.on_idle_event: Any = None
 
     def handle_idle_event(self) -> None:
@@ -71,13 +71,13 @@
         method: bytes,
         target: bytes,
         headers: Headers,
-        are_checked: bool = False,
+        headers_validated: bool = False,
     ) -> None:
         """Queue the head of a request.
 
         The body is framed by `content-length` or `transfer-encoding` in
-        `headers`, or empty without either. `are_checked` headers have been
-        read by h11 and are not checked again, which saves 12 us.
+        `headers`, or empty without either. `headers_validated` headers have
+        been read by h11 and are not checked again, which saves 12 us.
         """
         fields = dict(headers)
         self.progress = _failures.Progress.NOT_SENT
@@ -88,7 +88,10 @@
         if b'transfer-encoding' not in fields:
             self._request_left = _framing.find_length(fields) or 0
         event = h11.Request(
-            method=method, target=target, headers=headers, _parsed=are_checked
+            method=method,
+            target=target,
+            headers=headers,
+            _parsed=headers_validated,
         )
         self._out.append(self._h11.send(event))
 
@@ -284,7 +287,7 @@
     ) -> _failures.TargetError:
         return _failures.TargetError(reason, self.progress, detail)
 
-    def expect_another(self) -> None:
+    def expect_next_response(self) -> None:
         """Get ready for the response that follows one that was read.
 
         A target may send a response twice; the second one arrives in
