--- a/tests/allocator_fixtures.py
+++ b/tests/allocator_fixtures.py
@@ -5,7 +5,7 @@
 from fulmarseam import wire
 
 POOL = wire.Pool(name='p', max_deadline_ms=4_000, slow_start_s=0.0)
-LIFETIME_S = 2.8 * 1.01
+GRANT_LIFETIME_S = 2.8 * 1.01
 
 
 def make_target(
@@ -60,11 +60,11 @@
 class Cluster:
     """A leader and entries that exchange messages without loss."""
 
-    def __init__(self, places: dict[str, tuple[str, str]]) -> None:
+    def __init__(self, locations: dict[str, tuple[str, str]]) -> None:
         self.now = 100.0
-        self.places = places
-        self.books = {name: steering.SlotTracker() for name in places}
-        self.wanted = dict.fromkeys(places, 0)
+        self.locations = locations
+        self.trackers = {name: steering.SlotTracker() for name in locations}
+        self.wanted = dict.fromkeys(locations, 0)
         self.draining: set[str] = set()
         self.doubtful: dict[str, list[str]] = {}
         self.table = membership.TargetTable()
@@ -80,8 +80,8 @@
         self.leader = steering.Allocator(self.now, term)
 
     def request(self, name: str) -> wire.SyncRequest:
-        region, domain = self.places[name]
-        book = self.books[name]
+        region, domain = self.locations[name]
+        tracker = self.trackers[name]
         return wire.SyncRequest(
             info=wire.EntryInfo(
                 entry=name,
@@ -96,10 +96,10 @@
             revision=0,
             targets_term=0,
             targets_version=0,
-            ack_term=book.ack_term,
-            ack_sequence=book.ack_sequence,
-            ack_age_ms=book.ack_age_ms(self.now),
-            uses=book.uses(self.now),
+            ack_term=tracker.ack_term,
+            ack_sequence=tracker.ack_sequence,
+            ack_age_ms=tracker.ack_age_ms(self.now),
+            uses=tracker.uses(self.now),
             demand=[wire.PoolDemand(pool='p', wanted=self.wanted[name])],
             links=[],
             announcements=[],
@@ -127,7 +127,7 @@
             self.shifts,
         )
 
-    def ask(self, name: str) -> wire.SyncResponse:
+    def request_grants(self, name: str) -> wire.SyncResponse:
         """Report, plan and issue; the answer is not applied."""
         self.leader.report(self.now, self.request(name))
         self.plan()
@@ -137,9 +137,9 @@
         )
 
     def sync(self, *names: str) -> None:
-        for name in names or self.places:
-            answer = self.ask(name)
-            self.books[name].apply(self.now, self.now, answer)
+        for name in names or self.locations:
+            answer = self.request_grants(name)
+            self.trackers[name].apply(self.now, self.now, answer)
 
     def run(self, seconds: float) -> None:
         """Let all entries sync every 0.4 s."""
@@ -147,19 +147,19 @@
             self.now += 0.4
             self.sync()
 
-    def settle(self) -> None:
+    def run_takeover(self) -> None:
         """Pass the time in which a new leader is careful."""
         self.run(8.0)
 
-    def held(self, name: str) -> dict[str, int]:
+    def list_allowances(self, name: str) -> dict[str, int]:
         return {
             use.target: use.allowance
-            for use in self.books[name].uses(self.now)
+            for use in self.trackers[name].uses(self.now)
             if use.allowance
         }
 
-    def total(self, name: str) -> int:
-        return sum(self.held(name).values())
+    def sum_allowances(self, name: str) -> int:
+        return sum(self.list_allowances(name).values())
 
 
 def build_pair() -> Cluster:
--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -14,8 +14,8 @@
     def start_new_term_with_held_slots(self) -> allocator_fixtures.Cluster:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
-        cluster.settle()
-        self.assertEqual(3, cluster.total('e0'))
+        cluster.run_takeover()
+        self.assertEqual(3, cluster.sum_allowances('e0'))
         cluster.now += 0.001
         cluster.start_leader(2)
         cluster.wanted['e1'] = 3
@@ -25,41 +25,43 @@
         cluster = self.start_new_term_with_held_slots()
         for seconds in (
             0.1,
-            allocator_fixtures.LIFETIME_S - 0.2,
+            allocator_fixtures.GRANT_LIFETIME_S - 0.2,
             0.2,
             4.04 - 0.2,
         ):
             cluster.now += seconds
             cluster.sync('e1')
-            self.assertEqual(0, cluster.total('e1'))
+            self.assertEqual(0, cluster.sum_allowances('e1'))
         cluster.now += 0.2
         cluster.sync('e1')
-        self.assertEqual(3, cluster.total('e1'))
+        self.assertEqual(3, cluster.sum_allowances('e1'))
 
     def test_confirmed_slots_move_after_the_window(self) -> None:
         cluster = self.start_new_term_with_held_slots()
         cluster.sync()
         cluster.wanted['e0'] = 0
         cluster.run(2.4)
-        self.assertEqual(0, cluster.total('e1'))
+        self.assertEqual(0, cluster.sum_allowances('e1'))
         cluster.run(2.0)
-        self.assertEqual(3, cluster.total('e1'))
+        self.assertEqual(3, cluster.sum_allowances('e1'))
 
     def test_a_late_first_report_confirms_nothing(self) -> None:
         # The former leader had moved the slots from e0 to an entry that no
         # longer reports. Only the delayed request of e0 claims them.
         cluster = self.start_new_term_with_held_slots()
         late = cluster.request('e0')
-        cluster.books['e0'] = steering.SlotTracker()
+        cluster.trackers['e0'] = steering.SlotTracker()
         cluster.leader.report(cluster.now, late)
-        cluster.now += allocator_fixtures.LIFETIME_S + 0.01
-        cluster.books['e0'].apply(
+        cluster.now += allocator_fixtures.GRANT_LIFETIME_S + 0.01
+        cluster.trackers['e0'].apply(
             cluster.now,
             cluster.now,
             allocator_fixtures.make_response(1, 10**6, []),
         )
         cluster.sync('e0', 'e1')
-        self.assertEqual(0, cluster.total('e0') + cluster.total('e1'))
+        self.assertEqual(
+            0, cluster.sum_allowances('e0') + cluster.sum_allowances('e1')
+        )
 
     def test_unknown_target_is_renewed_but_not_extended(self) -> None:
         cluster = self.start_new_term_with_held_slots()
@@ -67,9 +69,9 @@
         cluster.table = membership.TargetTable()
         cluster.now += 1.0
         cluster.sync('e0')
-        self.assertEqual(3, cluster.total('e0'))
+        self.assertEqual(3, cluster.sum_allowances('e0'))
         cluster.now += 1.8
-        self.assertEqual(0, cluster.total('e0'))
+        self.assertEqual(0, cluster.sum_allowances('e0'))
         cluster.reports = reports
 
     def test_new_term_is_refused_when_grants_changed_after_the_request(
@@ -112,30 +114,30 @@
 
     def test_each_unacknowledged_grant_is_charged(self) -> None:
         cluster = allocator_fixtures.build_pair()
-        cluster.settle()
+        cluster.run_takeover()
         cluster.sync('e0')
-        self.assertEqual(1, cluster.total('e0'))
+        self.assertEqual(1, cluster.sum_allowances('e0'))
         cluster.wanted['e0'] = 3
-        lost_response = cluster.ask('e0')
+        lost_response = cluster.request_grants('e0')
         self.assertEqual(2, lost_response.grants[0].slots)
         # Only e0 has synced, so its sequence numbers are consecutive.
         cluster.wanted = {'e0': 0, 'e1': 3}
         cluster.leader.report(cluster.now, cluster.request('e0'))
         cluster.sync('e1')
-        self.assertEqual(1, cluster.total('e1'))
+        self.assertEqual(1, cluster.sum_allowances('e1'))
 
     def test_charge_of_a_silent_entry_covers_drift_and_deadline(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
-        cluster.settle()
+        cluster.run_takeover()
         cluster.wanted['e1'] = 3
         start = cluster.now
-        cluster.now = start + allocator_fixtures.LIFETIME_S + 4.04 - 0.01
+        cluster.now = start + allocator_fixtures.GRANT_LIFETIME_S + 4.04 - 0.01
         cluster.sync('e1')
-        self.assertEqual(0, cluster.total('e1'))
-        cluster.now = start + allocator_fixtures.LIFETIME_S + 4.04 + 0.01
+        self.assertEqual(0, cluster.sum_allowances('e1'))
+        cluster.now = start + allocator_fixtures.GRANT_LIFETIME_S + 4.04 + 0.01
         cluster.sync('e1')
-        self.assertEqual(3, cluster.total('e1'))
+        self.assertEqual(3, cluster.sum_allowances('e1'))
 
     def test_connections_of_an_unacknowledged_grant_are_charged(self) -> None:
         cluster = allocator_fixtures.build_pair()
@@ -143,24 +145,24 @@
             allocator_fixtures.make_target('t0', slots=4, connections=4)
         ]
         cluster.wanted['e0'] = 4
-        cluster.settle()
+        cluster.run_takeover()
         cluster.reports = [
             allocator_fixtures.make_target('t0', slots=8, connections=4)
         ]
         cluster.wanted['e1'] = 4
-        response = cluster.ask('e1')
+        response = cluster.request_grants('e1')
         self.assertEqual([], response.grants)
         self.assertLessEqual(cluster.leader.charged_connections('t0'), 4)
 
     def test_entry_that_gets_no_responses_loses_its_share(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted = {'e0': 3, 'e1': 3}
-        cluster.settle()
+        cluster.run_takeover()
         for _ in range(30):
             cluster.now += 0.4
-            cluster.ask('e0')
+            cluster.request_grants('e0')
             cluster.sync('e1')
-        self.assertEqual(3, cluster.total('e1'))
+        self.assertEqual(3, cluster.sum_allowances('e1'))
 
 
 class GrantChangeTest(unittest.TestCase):
@@ -172,14 +174,14 @@
             allocator_fixtures.make_target('t0', slots=4, connections=4)
         ]
         cluster.wanted['e0'] = 4
-        cluster.settle()
+        cluster.run_takeover()
         cluster.reports = [
             allocator_fixtures.make_target('t0', slots=8, connections=4)
         ]
         cluster.wanted['e1'] = 4
         cluster.sync('e1')
         cluster.plan()
-        self.assertEqual(0, cluster.total('e1'))
+        self.assertEqual(0, cluster.sum_allowances('e1'))
         self.assertFalse(
             cluster.leader.has_grant_changes(cluster.now, 'e1', 1)
         )
--- a/tests/test_slot_plan.py
+++ b/tests/test_slot_plan.py
@@ -15,20 +15,20 @@
     def test_unused_share_moves_within_a_second(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
-        cluster.settle()
+        cluster.run_takeover()
         cluster.wanted = {'e0': 0, 'e1': 3}
         cluster.run(1.2)
-        self.assertEqual(3, cluster.total('e1'))
+        self.assertEqual(3, cluster.sum_allowances('e1'))
 
     def test_recent_demand_does_not_starve_a_queue(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
-        cluster.settle()
+        cluster.run_takeover()
         cluster.wanted = {'e0': 0, 'e1': 3}
         for name in ('e0', 'e1', 'e0', 'e0', 'e1'):
             cluster.now += 0.01
             cluster.sync(name)
-        self.assertEqual(3, cluster.total('e1'))
+        self.assertEqual(3, cluster.sum_allowances('e1'))
 
     def test_demand_decides_when_slots_are_few(self) -> None:
         places = {
@@ -45,12 +45,12 @@
             for n in range(12)
         ]
         cluster.wanted.update({'e0': 30, 'e1': 3, 'e2': 3})
-        cluster.settle()
-        self.assertEqual(30, cluster.total('e0'))
-        self.assertEqual(3, cluster.total('e1'))
+        cluster.run_takeover()
+        self.assertEqual(30, cluster.sum_allowances('e0'))
+        self.assertEqual(3, cluster.sum_allowances('e1'))
         cluster.wanted = dict.fromkeys(places, 9)
-        cluster.settle()
-        totals = sorted(cluster.total(name) for name in places)
+        cluster.run_takeover()
+        totals = sorted(cluster.sum_allowances(name) for name in places)
         self.assertEqual([5, 5, 5, 5, 5, 5, 6], totals)
 
     def test_own_domain_and_region_come_first(self) -> None:
@@ -65,12 +65,14 @@
         ]
         cluster.wanted['e0'] = 2
         cluster.wanted['e1'] = 2
-        cluster.settle()
-        self.assertGreaterEqual(cluster.held('e0').get('t0', 0), 2)
-        self.assertNotIn('t2', cluster.held('e0'))
+        cluster.run_takeover()
+        self.assertGreaterEqual(cluster.list_allowances('e0').get('t0', 0), 2)
+        self.assertNotIn('t2', cluster.list_allowances('e0'))
         cluster.wanted['e0'] = 7
-        cluster.settle()
-        self.assertEqual({'t0': 3, 't1': 3, 't2': 1}, cluster.held('e0'))
+        cluster.run_takeover()
+        self.assertEqual(
+            {'t0': 3, 't1': 3, 't2': 1}, cluster.list_allowances('e0')
+        )
 
     def plan_one(
         self, wanted: int, held: dict[str, int], in_flight: dict[str, int]
@@ -101,13 +103,13 @@
         cluster.doubtful['e'] = ['bad']
         cluster.wanted['e'] = 2
         cluster.run(15.0)
-        held = cluster.held('e')
+        held = cluster.list_allowances('e')
         self.assertEqual(0, held.get('bad', 0))
         self.assertGreaterEqual(held['good'], 2)
         cluster.wanted['e'] = 5
         cluster.run(2.0)
-        self.assertEqual(3, cluster.held('e')['good'])
-        self.assertGreaterEqual(cluster.held('e')['bad'], 2)
+        self.assertEqual(3, cluster.list_allowances('e')['good'])
+        self.assertGreaterEqual(cluster.list_allowances('e')['bad'], 2)
 
     def test_slots_in_use_stay_on_their_targets(self) -> None:
         held = {'t0': 2, 't1': 2}
@@ -121,30 +123,33 @@
             allocator_fixtures.make_target(f't{n}', slots=4) for n in range(4)
         ]
         cluster.wanted = {'e0': 2, 'e1': 3, 'e2': 1, 'e3': 2}
-        cluster.settle()
+        cluster.run_takeover()
         held_by_round = []
         for wanted in (2, 1, 2, 1):
             cluster.wanted['e2'] = wanted
             cluster.run(2.0)
             held_by_round.append(
-                {name: cluster.held(name) for name in cluster.places}
+                {
+                    name: cluster.list_allowances(name)
+                    for name in cluster.locations
+                }
             )
         self.assertEqual([held_by_round[0]] * 3, held_by_round[1:])
 
     def test_draining_entry_keeps_what_it_uses(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted = {'e0': 2, 'e1': 0}
-        cluster.settle()
-        self.assertTrue(cluster.books['e0'].try_acquire(cluster.now, 't0'))
+        cluster.run_takeover()
+        self.assertTrue(cluster.trackers['e0'].try_acquire(cluster.now, 't0'))
         cluster.draining.add('e0')
         cluster.wanted['e0'] = 1
         cluster.run(2.0)
-        self.assertEqual({'t0': 1}, cluster.held('e0'))
+        self.assertEqual({'t0': 1}, cluster.list_allowances('e0'))
 
     def test_drained_and_leaving_targets_get_no_slots(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
-        cluster.settle()
+        cluster.run_takeover()
         cluster.drains = [
             wire.Drain(
                 name='d',
@@ -157,17 +162,17 @@
         cluster.plan()
         self.assertTrue(cluster.leader.has_grant_changes(cluster.now, 'e0', 1))
         cluster.sync('e0')
-        self.assertEqual({}, cluster.held('e0'))
+        self.assertEqual({}, cluster.list_allowances('e0'))
         cluster.drains = []
         cluster.sync('e0')
-        self.assertEqual({'t0': 3}, cluster.held('e0'))
+        self.assertEqual({'t0': 3}, cluster.list_allowances('e0'))
         cluster.reports = [
             allocator_fixtures.make_target(
                 't0', state=wire.TargetState.LEAVING
             )
         ]
         cluster.sync('e0')
-        self.assertEqual({}, cluster.held('e0'))
+        self.assertEqual({}, cluster.list_allowances('e0'))
 
     def test_cold_target_starts_with_a_share_of_its_slots(self) -> None:
         cluster = allocator_fixtures.build_pair()
@@ -175,14 +180,14 @@
             name='p', max_deadline_ms=4_000, slow_start_s=10.0, cold_factor=0.5
         )
         cluster.wanted['e0'] = 8
-        cluster.settle()
+        cluster.run_takeover()
         cluster.reports = [allocator_fixtures.make_target('cold', slots=8)]
         cluster.sync('e0')
-        self.assertEqual(4, cluster.held('e0')['cold'])
+        self.assertEqual(4, cluster.list_allowances('e0')['cold'])
         cluster.run(6.0)
-        self.assertEqual(6, cluster.held('e0')['cold'])
+        self.assertEqual(6, cluster.list_allowances('e0')['cold'])
         cluster.run(4.4)
-        self.assertEqual(8, cluster.held('e0')['cold'])
+        self.assertEqual(8, cluster.list_allowances('e0')['cold'])
 
     def test_shift_moves_its_part_of_the_slots(self) -> None:
         cluster = allocator_fixtures.Cluster({'e0': ('a', 'a1')})
@@ -205,19 +210,19 @@
             )
         ]
         cluster.wanted['e0'] = 8
-        cluster.settle()
-        self.assertEqual(2, cluster.held('e0')['t1'])
+        cluster.run_takeover()
+        self.assertEqual(2, cluster.list_allowances('e0')['t1'])
 
     def test_starved_entry_changes_the_grants_of_the_holder(self) -> None:
         cluster = allocator_fixtures.build_pair()
         cluster.wanted['e0'] = 3
-        cluster.settle()
+        cluster.run_takeover()
         self.assertFalse(
             cluster.leader.has_grant_changes(cluster.now, 'e0', 1)
         )
         cluster.wanted['e0'] = 0
         cluster.run(0.8)
-        holder = 'e0' if cluster.total('e0') else 'e1'
+        holder = 'e0' if cluster.sum_allowances('e0') else 'e1'
         other = 'e1' if holder == 'e0' else 'e0'
         cluster.wanted[other] = 3
         cluster.sync(other)
@@ -230,7 +235,7 @@
             cluster.leader.has_grant_changes(cluster.now, other, 1)
         )
         cluster.sync(other)
-        self.assertEqual(3, cluster.total(other))
+        self.assertEqual(3, cluster.sum_allowances(other))
 
 
 def make_links(regions: list[str]) -> list[wire.Link]:
