--- a/tests/consensus_simulation.py
+++ b/tests/consensus_simulation.py
@@ -61,7 +61,7 @@
             known = self.votes.setdefault(term, vote)
             assert known == vote, f'two votes in term {term}'
 
-    def holds(self, index: int, term: int) -> bool:
+    def has_entry(self, index: int, term: int) -> bool:
         state = self.state
         if state.snapshot and state.snapshot.meta.index >= index:
             return True
@@ -81,7 +81,7 @@
         self.applied: list[bytes] = []
         self.rate = 1.0
         self.starts = 0
-        self.crash_in: str | None = None
+        self.crash_point: str | None = None
 
 
 class Simulation:
@@ -95,14 +95,14 @@
         self.random = random.Random(seed)
         self.loss = loss
         self.now = 0.0
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked_links: set[tuple[str, str]] = set()
         self.leaders: dict[int, str] = {}
         self.committed: dict[int, wire.LogEntry] = {}
-        self.committed_in: dict[int, int] = {}
+        self.commit_terms: dict[int, int] = {}
         self.acknowledged = 0
-        self.reads = 0
-        self.confirmations = 0
-        self.installs = 0
+        self.lease_reads = 0
+        self.confirmed_reads = 0
+        self.snapshot_installs = 0
         self._pending: dict[tuple[str, int, int], bytes] = {}
         self._confirming: list[tuple[str, int, int, int]] = []
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -125,7 +125,7 @@
 
     # Events
 
-    def at(self, time: float, action: Callable[[], None]) -> None:
+    def schedule(self, time: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (time, next(self._sequence), action))
 
     def run(self, seconds: float) -> None:
@@ -149,7 +149,7 @@
             return
         node.starts += 1
         node.rate = self.random.uniform(0.995, 1.005)
-        node.crash_in = None
+        node.crash_point = None
         config = _core_types.ReplicaConfig(
             member_id=node.name,
             keep_entries=5,
@@ -187,13 +187,13 @@
             if node.replica is not None:
                 self._schedule_tick(node)
 
-        self.at(due + 1e-6, tick)
+        self.schedule(due + 1e-6, tick)
 
     def _carry_out(
         self, node: Node, effects: _core_types.Effects, sender: str = ''
     ) -> None:
         """Do what a driver does; a crash may come at each point."""
-        point, node.crash_in = node.crash_in, None
+        point, node.crash_point = node.crash_point, None
         if point == 'before sync':
             self.crash(node)
             return
@@ -227,7 +227,7 @@
             delay = self.random.uniform(0.001, 0.03)
             if self.random.random() < self.loss:
                 delay += self.random.uniform(0.0, 1.5)
-            self.at(
+            self.schedule(
                 self.now + delay,
                 lambda: self._deliver(source, to, body),
             )
@@ -236,7 +236,7 @@
         self, source: str, to: str, body: wire.ReplicaMessage
     ) -> None:
         node = self.nodes[to]
-        if node.replica is None or (source, to) in self.cut:
+        if node.replica is None or (source, to) in self.blocked_links:
             return
         effects = node.replica.receive(self.clock(node), source, body)
         self._carry_out(node, effects, source)
@@ -244,9 +244,9 @@
     def isolate(self, name: str, inbound: bool, outbound: bool) -> None:
         for other in self.nodes:
             if inbound:
-                self.cut.add((other, name))
+                self.blocked_links.add((other, name))
             if outbound:
-                self.cut.add((name, other))
+                self.blocked_links.add((name, other))
 
     # Clients
 
@@ -295,7 +295,7 @@
         )
         self._carry_out(node, effects)
 
-    def change(
+    def change_members(
         self,
         node: Node,
         change: Callable[[_core.Replica], _core_types.Effects],
@@ -324,14 +324,14 @@
             node.applied = _load_commands(item.data)
             expected = self.list_commands(item.meta.index)
             assert node.applied == expected, 'a snapshot differs'
-            self.installs += 1
+            self.snapshot_installs += 1
             return
         if item.index not in self.committed:
             self._check_held_by_majority(node, item)
             self._check_members(item)
             self.committed[item.index] = item
             assert node.replica is not None
-            self.committed_in[item.index] = node.replica.term
+            self.commit_terms[item.index] = node.replica.term
         assert self.committed[item.index] == item, 'committed entries differ'
         if item.type is wire.EntryType.COMMAND:
             node.applied.append(item.data)
@@ -354,7 +354,7 @@
         holders = [
             other.name
             for other in self.nodes.values()
-            if other.disk.holds(entry.index, entry.term)
+            if other.disk.has_entry(entry.index, entry.term)
         ]
         members = node.replica.members
         assert _core_members.has_majority(members, holders), (
@@ -381,8 +381,8 @@
         known = self.leaders.setdefault(replica.term, node.name)
         assert known == node.name, f'two leaders in term {replica.term}'
         for index, entry in self.committed.items():
-            if self.committed_in[index] < replica.term:
-                held = node.disk.holds(entry.index, entry.term)
+            if self.commit_terms[index] < replica.term:
+                held = node.disk.has_entry(entry.index, entry.term)
                 assert held, 'a leader lacks a committed entry'
 
     def _check_leases(self) -> None:
@@ -392,7 +392,7 @@
             assert replica is not None
             if replica.leadership_age(self.clock(node)) is None:
                 continue
-            self.reads += 1
+            self.lease_reads += 1
             newest = max(self.leaders)
             assert replica.term == newest, 'a lease overlaps a newer leader'
             assert replica.commit_index >= self.acknowledged, 'a stale read'
@@ -408,7 +408,7 @@
             if replica.confirmed_round < number:
                 waiting.append((name, term, number, acknowledged))
                 continue
-            self.confirmations += 1
+            self.confirmed_reads += 1
             assert replica.commit_index >= acknowledged, (
                 'a confirmed read is stale'
             )
@@ -416,10 +416,10 @@
 
     def heal_and_check(self) -> None:
         """Heal everything; the members must agree on all that was done."""
-        self.cut.clear()
+        self.blocked_links.clear()
         self.loss = 0.0
         for node in self.nodes.values():
-            node.crash_in = None
+            node.crash_point = None
             self.start(node)
         self.run(4.0)
         leader = self.wait_for_leader()
@@ -484,14 +484,14 @@
 
     def _crash_in_step(self) -> None:
         node = self._pick()
-        node.crash_in = self._random.choice(
+        node.crash_point = self._random.choice(
             ['before sync', 'after sync', 'while sending']
         )
         self._restart_later(node)
 
     def _restart_later(self, node: Node) -> None:
         delay = self._random.choice([0.01, 0.3, 2.0])
-        self._simulation.at(
+        self._simulation.schedule(
             self._simulation.now + delay,
             lambda: self._simulation.start(node),
         )
@@ -503,7 +503,7 @@
         self._simulation.isolate(self._pick_leader().name, inbound, outbound)
 
     def _heal(self) -> None:
-        self._simulation.cut.clear()
+        self._simulation.blocked_links.clear()
 
     def _compact(self) -> None:
         self._simulation.compact(self._pick())
@@ -516,7 +516,7 @@
         leader = self._pick_leader()
         info = simulation.describe(name)
         simulation.add_node(name)
-        simulation.change(
+        simulation.change_members(
             leader,
             lambda replica: replica.add_learner(
                 simulation.clock(leader), info
@@ -526,7 +526,7 @@
     def _remove(self) -> None:
         leader = self._pick_leader()
         name = self._pick().name
-        self._simulation.change(
+        self._simulation.change_members(
             leader,
             lambda replica: replica.remove_member(
                 self._simulation.clock(leader), name
--- a/tests/test_consensus_core.py
+++ b/tests/test_consensus_core.py
@@ -33,9 +33,9 @@
                 group = simulation.Simulation(seed, 3 if seed % 2 else 5)
                 simulation.Faults(group).run(SIMULATED_S)
                 group.heal_and_check()
-                reads += group.reads
-                confirmations += group.confirmations
-                installs += group.installs
+                reads += group.lease_reads
+                confirmations += group.confirmed_reads
+                installs += group.snapshot_installs
                 changes += sum(
                     entry.type is wire.EntryType.MEMBERS
                     for entry in group.committed.values()
@@ -79,7 +79,7 @@
         ),
     )
     def crash_in_step(self, number: int, point: str) -> None:
-        self.group.nodes[f'n{number}'].crash_in = point
+        self.group.nodes[f'n{number}'].crash_point = point
 
     @stateful.rule(number=strategies.integers(0, 2))
     def restart(self, number: int) -> None:
@@ -98,7 +98,7 @@
 
     @stateful.rule()
     def heal(self) -> None:
-        self.group.cut.clear()
+        self.group.blocked_links.clear()
 
     @stateful.rule(number=strategies.integers(0, 2))
     def compact(self, number: int) -> None:
@@ -158,12 +158,12 @@
                 voter, other = (
                     node for node in group.nodes.values() if node is not leader
                 )
-                group.cut = {(leader.name, other.name)}
+                group.blocked_links = {(leader.name, other.name)}
                 for _ in range(60):
                     group.run(0.05)
                     group.crash(voter)
                     group.start(voter)
-                group.cut.clear()
+                group.blocked_links.clear()
                 group.heal_and_check()
 
     def test_returning_member_does_not_depose_the_leader(self) -> None:
@@ -174,7 +174,7 @@
         )
         group.isolate(other.name, True, True)
         group.run(20.0)
-        group.cut.clear()
+        group.blocked_links.clear()
         group.run(3.0)
         self.assertEqual(1, len(group.leaders))
 
@@ -198,7 +198,7 @@
     def add(self, name: str) -> bool:
         self.group.add_node(name)
         info = self.group.describe(name)
-        return self.group.change(
+        return self.group.change_members(
             self.leader,
             lambda replica: replica.add_learner(
                 self.group.clock(self.leader), info
@@ -206,7 +206,7 @@
         )
 
     def remove(self, name: str) -> bool:
-        return self.group.change(
+        return self.group.change_members(
             self.leader,
             lambda replica: replica.remove_member(
                 self.group.clock(self.leader), name
@@ -231,12 +231,12 @@
         group.crash(first)
         self.assertTrue(self.remove(first.name))
         group.run(0.5)
-        group.cut = {(self.leader.name, 'n3')}
+        group.blocked_links = {(self.leader.name, 'n3')}
         self.assertTrue(self.add('n3'))
         group.run(1.0)
         self.assertNotIn('n3', self.list_voters())
         group.crash(second)
-        group.cut.clear()
+        group.blocked_links.clear()
         committed = self.replica.commit_index
         group.propose(self.leader)
         group.run(0.5)
@@ -320,7 +320,7 @@
         group.run(0.2)
         group.start(other)
         group.heal_and_check()
-        self.assertEqual(1, group.installs)
+        self.assertEqual(1, group.snapshot_installs)
         self.assertGreater(len(other.applied), 800)
 
     def test_damaged_transfer_is_repeated(self) -> None:
@@ -513,10 +513,10 @@
         group.isolate(leader.name, True, True)
         group.confirm(leader)
         group.run(0.5)
-        self.assertEqual(0, group.confirmations)
-        group.cut.clear()
+        self.assertEqual(0, group.confirmed_reads)
+        group.blocked_links.clear()
         group.run(0.5)
-        self.assertEqual(1, group.confirmations)
+        self.assertEqual(1, group.confirmed_reads)
 
     def test_last_voter_that_restarts_waits_for_the_lease(self) -> None:
         """Seed 17089: the restarted voter led while a lease was valid.
@@ -529,8 +529,8 @@
         other = next(
             node for node in group.nodes.values() if node is not leader
         )
-        group.cut = {(other.name, leader.name)}
-        group.change(
+        group.blocked_links = {(other.name, leader.name)}
+        group.change_members(
             leader,
             lambda replica: replica.remove_member(
                 group.clock(leader), leader.name
@@ -547,12 +547,12 @@
         group = simulation.Simulation(10, 2, loss=0.0)
         leader = group.wait_for_leader()
         group.run(0.5)
-        group.cut = {
+        group.blocked_links = {
             (leader.name, other)
             for other in group.nodes
             if other != leader.name
         }
-        removed = group.change(
+        removed = group.change_members(
             leader,
             lambda replica: replica.remove_member(
                 group.clock(leader), leader.name
