--- a/tests/catalog_fixtures.py
+++ b/tests/catalog_fixtures.py
@@ -65,7 +65,7 @@
     )
 
 
-def make_drop(name: str, version: int) -> wire.Item:
+def make_route_removal(name: str, version: int) -> wire.Item:
     """Return a version that drops a route."""
     return wire.Item(kind=wire.ItemKind.ROUTE, name=name, version=version)
 
--- a/tests/control_fixtures.py
+++ b/tests/control_fixtures.py
@@ -39,7 +39,7 @@
     ]
 
 
-def read_control(content: str) -> settings.ControlSettings:
+def parse_control_settings(content: str) -> settings.ControlSettings:
     """Return the settings that a YAML text holds."""
     return settings.read_settings(content, settings.ControlSettings)
 
@@ -112,7 +112,7 @@
     )
 
 
-def use(target: str, allowance: int, in_flight: int) -> wire.SlotUse:
+def make_slot_use(target: str, allowance: int, in_flight: int) -> wire.SlotUse:
     """Return what an entry holds on a target."""
     return wire.SlotUse(
         target=ids.TargetId(target), allowance=allowance, in_flight=in_flight
--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -31,7 +31,7 @@
         for content in fixtures.make_group_settings(
             str(self.directory), count, **fields
         ):
-            options = fixtures.read_control(content)
+            options = fixtures.parse_control_settings(content)
             self.addresses[options.member_id] = options.listen
             self.config_path(options.member_id).write_text(content)
         self.write_ctl(list(self.addresses))
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -36,7 +36,7 @@
 
     def test_late_version_does_not_bring_back_a_dropped_item(self) -> None:
         fixtures.put(self.machine, fixtures.make_route('r', 7))
-        fixtures.put(self.machine, fixtures.make_drop('r', 9))
+        fixtures.put(self.machine, fixtures.make_route_removal('r', 9))
         fixtures.put(self.machine, fixtures.make_route('r', 8))
         self.assertIsNone(self._find('r').row)
 
@@ -256,7 +256,7 @@
         self.assertFalse(self.mirror.apply(0, changes))
 
     def test_a_snapshot_restores_the_whole_state(self) -> None:
-        fixtures.put(self.machine, fixtures.make_drop('gone', 4))
+        fixtures.put(self.machine, fixtures.make_route_removal('gone', 4))
         self._sync(self.machine)
         fixtures.leave(self.machine, 'a', born_ms=700)
         restored = catalog.Catalog()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -33,7 +33,7 @@
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.options: dict[str, settings.ControlSettings] = {}
         for content in fixtures.make_group_settings(directory, self.count):
-            options = fixtures.read_control(content)
+            options = fixtures.parse_control_settings(content)
             self.options[options.member_id] = options
             self.clients[
                 options.member_id
@@ -229,7 +229,7 @@
         await self.edit('a')
         await self.sync(
             fixtures.make_request(
-                uses=[fixtures.use('t1', 2, 1)],
+                uses=[fixtures.make_slot_use('t1', 2, 1)],
                 announcements=[fixtures.make_target('t1')],
                 wait_ms=0,
             )
--- a/tests/test_control_registrations.py
+++ b/tests/test_control_registrations.py
@@ -53,7 +53,10 @@
     def change_leader(self, now: float) -> None:
         [content] = fixtures.make_group_settings('/nowhere', 1)
         self.leadership = _leadership.Leadership(
-            now, ids.Term(2), fixtures.read_control(content), self.tables
+            now,
+            ids.Term(2),
+            fixtures.parse_control_settings(content),
+            self.tables,
         )
 
     def test_no_grant_before_the_registration_is_in_the_log(self) -> None:
--- a/tests/test_control_steps.py
+++ b/tests/test_control_steps.py
@@ -24,7 +24,10 @@
         self.tables = self.machine.tables
         [content] = fixtures.make_group_settings('/nowhere', 1)
         self.leadership = _leadership.Leadership(
-            0.0, ids.Term(1), fixtures.read_control(content), self.tables
+            0.0,
+            ids.Term(1),
+            fixtures.parse_control_settings(content),
+            self.tables,
         )
 
     def apply(self, command: store.Command) -> None:
@@ -81,7 +84,7 @@
         return fixtures.make_request(
             fixtures.make_info(entry),
             revision=self.tables.revision,
-            uses=[fixtures.use('t1', allowance, in_flight)],
+            uses=[fixtures.make_slot_use('t1', allowance, in_flight)],
             announcements=[fixtures.make_target('t1')],
         )
 
@@ -121,7 +124,7 @@
             SETTLED,
             fixtures.make_request(
                 revision=self.tables.revision,
-                uses=[fixtures.use('t2', 2, 2)],
+                uses=[fixtures.make_slot_use('t2', 2, 2)],
                 announcements=[fixtures.make_target('t2', domain='ost-b')],
             ),
         )
@@ -156,7 +159,8 @@
         self.sync(
             now,
             fixtures.make_request(
-                uses=[fixtures.use('t1', 10, busy)], announcements=[target]
+                uses=[fixtures.make_slot_use('t1', 10, busy)],
+                announcements=[target],
             ),
         )
 
@@ -370,7 +374,7 @@
         self.leadership = _leadership.Leadership(
             SETTLED,
             ids.Term(2),
-            fixtures.read_control(
+            fixtures.parse_control_settings(
                 fixtures.make_group_settings('/nowhere', 1)[0]
             ),
             self.tables,
