--- a/tests/gateway_case.py
+++ b/tests/gateway_case.py
@@ -44,7 +44,7 @@
     return lines[0], {name.lower(): value.strip() for name, _, value in pairs}
 
 
-async def answer(
+async def write_response(
     writer: asyncio.StreamWriter,
     headers: dict[str, str],
     status: int = 200,
@@ -70,8 +70,8 @@
         self.heads: list[str] = []
         self.headers: list[dict[str, str]] = []
         self.bodies: list[bytes] = []
-        self.called = asyncio.Event()
-        self.closed = asyncio.Event()
+        self.request_received = asyncio.Event()
+        self.connection_closed = asyncio.Event()
         self.address = ''
         self._server: asyncio.Server | None = None
 
@@ -89,11 +89,11 @@
                 line, headers = found
                 length = int(headers.get('content-length', 0))
                 self.heads.append(line)
-                self.called.set()
+                self.request_received.set()
                 self.headers.append(headers)
                 self.bodies.append(await reader.readexactly(length))
                 await self.script(reader, writer, headers)
-        self.closed.set()
+        self.connection_closed.set()
         writer.close()
 
     def stop(self) -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -7,17 +7,17 @@
 from tests import catalog_fixtures as fixtures
 from tests import gateway_case
 
-answer = gateway_case.answer
+write_response = gateway_case.write_response
 
 
 async def serve(reader, writer, headers):
     """Answer at once."""
-    await answer(writer, headers)
+    await write_response(writer, headers)
 
 
 async def shed(reader, writer, headers):
     """Declare that the request was not run."""
-    await answer(writer, headers, 503, b'', fulmarseam_not_run='1')
+    await write_response(writer, headers, 503, b'', fulmarseam_not_run='1')
 
 
 async def crash(reader, writer, headers):
@@ -27,7 +27,7 @@
 
 async def fail(reader, writer, headers):
     """Run the request and answer 500."""
-    await answer(writer, headers, 500, b'oops')
+    await write_response(writer, headers, 500, b'oops')
 
 
 class ForwardingTest(gateway_case.GatewayCase):
@@ -96,7 +96,7 @@
                 data += await reader.readexactly(size)
                 await reader.readline()
             await reader.readline()
-            await answer(writer, headers, body=data)
+            await write_response(writer, headers, body=data)
 
         await self.add_target('t1', echo)
         await self.put_route()
@@ -117,7 +117,7 @@
         body = bytes(range(256)) * 4_000
 
         async def serve_much(reader, writer, headers):
-            await answer(writer, headers, body=body)
+            await write_response(writer, headers, body=body)
 
         await self.add_target('t1', serve_much)
         await self.put_route()
@@ -202,7 +202,7 @@
             writer.transport.abort()
             return
         self.answered_on.add(writer)
-        await answer(writer, headers, keep_alive='timeout=30')
+        await write_response(writer, headers, keep_alive='timeout=30')
 
     async def test_an_idempotent_request_gets_a_new_connection(self) -> None:
         await self.add_target('t1', self._reset_idle_connection)
@@ -236,7 +236,7 @@
                 writer.transport.abort()
                 return
             self.answered_on.add(writer)
-            await answer(writer, headers, keep_alive='timeout=30')
+            await write_response(writer, headers, keep_alive='timeout=30')
 
         await self.add_target('t1', end)
         await self.put_route(max_attempts=2)
@@ -253,11 +253,11 @@
         self,
     ) -> None:
         async def answer_twice(reader, writer, headers):
-            await answer(writer, headers)
+            await write_response(writer, headers)
             if not self.sent_extra:
                 self.sent_extra = True
                 await asyncio.sleep(0.05)
-                await answer(writer, headers, body=b'stale')
+                await write_response(writer, headers, body=b'stale')
 
         self.sent_extra = False
         await self.add_target('t1', answer_twice)
@@ -272,7 +272,7 @@
 
     async def test_an_answer_with_another_request_id_is_rejected(self) -> None:
         async def answer_other_request(reader, writer, headers):
-            await answer(writer, {'fulmarseam-request-id': 'other'})
+            await write_response(writer, {'fulmarseam-request-id': 'other'})
 
         await self.add_target('t1', answer_other_request)
         await self.put_route(idempotent=False)
@@ -330,10 +330,10 @@
         target = await self.add_target('t1', hang)
         await self.put_route()
         _, writer = await self.open_call()
-        await target.called.wait()
+        await target.request_received.wait()
         writer.transport.abort()
         async with asyncio.timeout(0.5):
-            await target.closed.wait()
+            await target.connection_closed.wait()
 
 
 class MembershipTest(gateway_case.GatewayCase):
@@ -375,7 +375,7 @@
 
     async def test_a_misdirected_request_is_retried(self) -> None:
         async def refuse_misdirected(reader, writer, headers):
-            await answer(writer, headers, 421, b'')
+            await write_response(writer, headers, 421, b'')
 
         await self.add_target('t1', refuse_misdirected)
         await self.add_target('t2', serve)
@@ -400,7 +400,7 @@
     ) -> None:
         async def serve_slowly(reader, writer, headers):
             await asyncio.sleep(0.2)
-            await answer(writer, headers)
+            await write_response(writer, headers)
 
         await self.add_target('t1', serve_slowly)
         await self.put_route()
