--- a/tests/store_fixtures.py
+++ b/tests/store_fixtures.py
@@ -59,7 +59,7 @@
     )
 
 
-class Group:
+class MachineHarness:
     """A machine with the calls that the tests make."""
 
     def __init__(self, results: store.EditResults | None = None) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,7 +14,7 @@
     """Guards against lost, doubled and reverted edits."""
 
     def test_of_two_edits_with_equal_versions_one_wins(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         first = group.edit(
             'a', store_fixtures.make_pool(), base={store_fixtures.POOLS: 0}
         )
@@ -29,7 +29,7 @@
         self.assertIsNone(group.machine.tables.get(wire.Pool, 'other'))
 
     def test_resent_edit_returns_the_first_result(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         first = group.edit(
             'a', store_fixtures.make_pool(), base={store_fixtures.POOLS: 0}
         )
@@ -43,7 +43,7 @@
     def test_refused_edit_is_refused_again_after_the_cause_is_gone(
         self,
     ) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         first = group.edit(
             'a', store_fixtures.make_route(), base={store_fixtures.ROUTES: 0}
         )
@@ -55,7 +55,7 @@
         self.assertEqual(first, again)
 
     def test_edit_id_with_other_content_is_refused(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit('a', store_fixtures.make_pool())
         other = group.edit(
             'a',
@@ -66,7 +66,7 @@
         self.assertIsNone(group.machine.tables.get(wire.Pool, 'other'))
 
     def test_resend_is_known_by_its_content(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         first = wire.Edit(
             edit_id=ids.EditId('a'),
             base={store_fixtures.POOLS: 0},
@@ -82,7 +82,7 @@
         self.assertEqual('edit_id_conflict', group.apply(other).kind)
 
     def test_results_are_bounded(self) -> None:
-        group = store_fixtures.Group(store.EditResults(limit=3))
+        group = store_fixtures.MachineHarness(store.EditResults(limit=3))
         for number in range(5):
             group.edit(
                 f'e{number}', store_fixtures.make_pool(queue_limit=number)
@@ -92,7 +92,9 @@
         self.assertIsNotNone(group.machine.results.find(ids.EditId('e2')))
 
     def test_lines_of_refused_edits_are_bounded(self) -> None:
-        group = store_fixtures.Group(store.EditResults(max_problem_bytes=200))
+        group = store_fixtures.MachineHarness(
+            store.EditResults(max_problem_bytes=200)
+        )
         for number in range(5):
             group.edit(f'e{number}', store_fixtures.make_route(pool='gone'))
         oldest = group.machine.results.find(ids.EditId('e0'))
@@ -117,7 +119,7 @@
         self.assertEqual(group.machine.snapshot(), copy.snapshot())
 
     def test_edit_without_base_version_is_refused(self) -> None:
-        result = store_fixtures.Group().edit(
+        result = store_fixtures.MachineHarness().edit(
             'a', store_fixtures.make_pool(), base={}
         )
         self.assertEqual('invalid_edit', result.kind)
@@ -134,11 +136,11 @@
         row = wire.RecordGroup(
             name=ids.RegionName('ost'), generation=1, primary=ids.EntryId('e')
         )
-        result = store_fixtures.Group().edit('a', row)
+        result = store_fixtures.MachineHarness().edit('a', row)
         self.assertIn('maintained by the control leader', result.problems[0])
 
     def test_edit_without_effect_keeps_the_revision(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit('a', store_fixtures.make_pool())
         result = group.edit('b', store_fixtures.make_pool())
         self.assertEqual((None, 1), (result.kind, result.revision))
@@ -148,7 +150,7 @@
     """Guards against tables that entries cannot follow."""
 
     def check(self, expected: list[str], *rows: wire.Row) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         before = group.machine.tables.dump()
         result = group.edit('a', *rows)
         self.assertEqual('invalid_edit', result.kind)
@@ -247,17 +249,17 @@
                 ),
             ],
         )
-        problems = store_fixtures.Group().apply(edit).problems
+        problems = store_fixtures.MachineHarness().apply(edit).problems
         self.assertEqual(3, len(problems), problems)
 
     def test_removal_of_an_unknown_row_is_refused(self) -> None:
-        result = store_fixtures.Group().edit(
+        result = store_fixtures.MachineHarness().edit(
             'a', removed=((store_fixtures.DRAINS, 'd'),)
         )
         self.assertIn('drains.d: found nothing', result.problems[0])
 
     def test_pool_in_use_cannot_be_removed(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit(
             'a', store_fixtures.make_pool(), store_fixtures.make_route()
         )
@@ -269,7 +271,7 @@
             store_fixtures.make_route(f'r{number}', pool='x')
             for number in range(20)
         ]
-        result = store_fixtures.Group().edit('a', *rows)
+        result = store_fixtures.MachineHarness().edit('a', *rows)
         self.assertEqual(51, len(result.problems))
         self.assertIn('more problems', result.problems[-1])
 
@@ -278,7 +280,7 @@
     """Guards against drains and shifts that move backward."""
 
     def setUp(self) -> None:
-        self.group = store_fixtures.Group()
+        self.group = store_fixtures.MachineHarness()
         self.group.edit(
             'a',
             store_fixtures.make_pool(),
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -16,7 +16,7 @@
     """Guards against readers that miss changes or go back."""
 
     def test_reader_gets_only_the_difference(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit('a', store_fixtures.make_pool())
         group.edit('b', store_fixtures.make_pool('x'))
         group.edit('c', store_fixtures.make_pool('x', queue_limit=1))
@@ -65,7 +65,7 @@
         self.assertEqual((False, []), (found.full, found.changes))
 
     def test_addresses_are_found_in_the_longest_block(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit(
             'a',
             wire.Block(name='10.0.0.0/8', region=ids.RegionName('ost')),
@@ -81,7 +81,7 @@
     """Guards against large block tables that stop the members."""
 
     def setUp(self) -> None:
-        self.group = store_fixtures.Group()
+        self.group = store_fixtures.MachineHarness()
         self.block = wire.Block(
             name='10.0.0.0/8', region=ids.RegionName('ost')
         )
@@ -177,7 +177,7 @@
     """Guards against state lost or reverted by snapshots and restores."""
 
     def test_restored_machine_continues_where_it_stopped(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit(
             'a', store_fixtures.make_pool(), store_fixtures.make_route()
         )
@@ -194,7 +194,7 @@
             store.Machine().restore(b'\x01')
 
     def test_export_restores_on_top_of_the_current_revision(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit(
             'a', store_fixtures.make_pool(), store_fixtures.make_route()
         )
@@ -214,7 +214,7 @@
     def test_restore_into_a_new_group_goes_above_the_exported_revision(
         self,
     ) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         export = wire.Export(
             revision=900,
             changes=[store.make_change(store_fixtures.make_pool())],
@@ -225,7 +225,7 @@
         self.assertEqual((None, 901), (result.kind, result.revision))
 
     def test_restore_keeps_record_generations_and_running_drains(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit('a', store_fixtures.make_drain())
         export = wire.Export(revision=1, changes=group.machine.tables.dump())
         group.step(store_fixtures.make_drain(state='active'))
@@ -280,7 +280,7 @@
     def test_replay_and_snapshot_lead_to_the_same_state(
         self, edits: list[wire.Edit], cut: int
     ) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         copy = store.Machine()
         reader = store.Tables()
         revision = 0
