--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,7 +17,7 @@
     """
 
     def test_of_two_edits_with_equal_versions_one_wins(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         first = group.edit(
             'a', store_fixtures.make_pool(), base={store_fixtures.POOLS: 0}
         )
@@ -32,7 +32,7 @@
         self.assertIsNone(group.machine.tables.get(wire.Pool, 'other'))
 
     def test_resent_edit_returns_the_first_result(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         first = group.edit(
             'a', store_fixtures.make_pool(), base={store_fixtures.POOLS: 0}
         )
@@ -46,7 +46,7 @@
     def test_refused_edit_is_refused_again_after_the_cause_is_gone(
         self,
     ) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         first = group.edit(
             'a', store_fixtures.make_route(), base={store_fixtures.ROUTES: 0}
         )
@@ -58,7 +58,7 @@
         self.assertEqual(first, again)
 
     def test_edit_id_with_other_content_is_refused(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit('a', store_fixtures.make_pool())
         other = group.edit(
             'a',
@@ -69,7 +69,7 @@
         self.assertIsNone(group.machine.tables.get(wire.Pool, 'other'))
 
     def test_resend_is_recognized_by_its_content(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         first = wire.Edit(
             edit_id=ids.EditId('a'),
             base={store_fixtures.POOLS: 0},
@@ -85,7 +85,7 @@
         self.assertEqual('edit_id_conflict', group.apply(other).kind)
 
     def test_results_are_bounded(self) -> None:
-        group = store_fixtures.Group(store.EditResults(max_results=3))
+        group = store_fixtures.MachineHarness(store.EditResults(max_results=3))
         for number in range(5):
             group.edit(
                 f'e{number}', store_fixtures.make_pool(queue_limit=number)
@@ -95,7 +95,9 @@
         self.assertIsNotNone(group.machine.results.find(ids.EditId('e2')))
 
     def test_problems_of_refused_edits_are_bounded(self) -> None:
-        group = store_fixtures.Group(store.EditResults(max_problem_bytes=200))
+        group = store_fixtures.MachineHarness(
+            store.EditResults(max_problem_bytes=200)
+        )
         for number in range(5):
             group.edit(f'e{number}', store_fixtures.make_route(pool='gone'))
         oldest = group.machine.results.find(ids.EditId('e0'))
@@ -120,7 +122,7 @@
         self.assertEqual(group.machine.snapshot(), copy.snapshot())
 
     def test_edit_without_base_version_is_refused(self) -> None:
-        result = store_fixtures.Group().edit(
+        result = store_fixtures.MachineHarness().edit(
             'a', store_fixtures.make_pool(), base={}
         )
         self.assertEqual('invalid_edit', result.kind)
@@ -137,11 +139,11 @@
         row = wire.RecordGroup(
             name=ids.RegionName('ost'), generation=1, primary=ids.EntryId('e')
         )
-        result = store_fixtures.Group().edit('a', row)
+        result = store_fixtures.MachineHarness().edit('a', row)
         self.assertIn('maintained by the control leader', result.problems[0])
 
     def test_edit_without_effect_keeps_the_revision(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit('a', store_fixtures.make_pool())
         result = group.edit('b', store_fixtures.make_pool())
         self.assertEqual((None, 1), (result.kind, result.revision))
@@ -154,7 +156,7 @@
     """
 
     def check(self, expected: list[str], *rows: wire.Row) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         before = group.machine.tables.dump()
         result = group.edit('a', *rows)
         self.assertEqual('invalid_edit', result.kind)
@@ -253,17 +255,17 @@
                 ),
             ],
         )
-        problems = store_fixtures.Group().apply(edit).problems
+        problems = store_fixtures.MachineHarness().apply(edit).problems
         self.assertEqual(3, len(problems), problems)
 
     def test_removal_of_an_unknown_row_is_refused(self) -> None:
-        result = store_fixtures.Group().edit(
+        result = store_fixtures.MachineHarness().edit(
             'a', removed=((store_fixtures.DRAINS, 'd'),)
         )
         self.assertIn('drains.d: found nothing', result.problems[0])
 
     def test_pool_in_use_cannot_be_removed(self) -> None:
-        group = store_fixtures.Group()
+        group = store_fixtures.MachineHarness()
         group.edit(
             'a', store_fixtures.make_pool(), store_fixtures.make_route()
         )
@@ -275,7 +277,7 @@
             store_fixtures.make_route(f'r{number}', pool='x')
             for number in range(20)
         ]
-        result = store_fixtures.Group().edit('a', *rows)
+        result = store_fixtures.MachineHarness().edit('a', *rows)
         self.assertEqual(51, len(result.problems))
         self.assertIn('more problems', result.problems[-1])
 
@@ -287,7 +289,7 @@
     """
 
     def setUp(self) -> None:
-        self.group = store_fixtures.Group()
+        self.group = store_fixtures.MachineHarness()
         self.group.edit(
             'a',
             store_fixtures.make_pool(),
