--- a/fulmarseam/http/__init__.py
+++ b/fulmarseam/http/__init__.py
@@ -9,8 +9,8 @@
         ...
 
 A client takes a connection from the pool of its target. Requests and
-responses are polled, and one `Signal` wakes the task for either side, so
-that a proxied request needs one task::
+responses are polled. One `Signal` wakes a task for events on either
+connection, so that one task can run a proxied request::
 
     pool = pools.get('127.0.0.1:9000', limit=8)
     connection = pool.take_idle(signal) or await pool.open(signal)
--- a/fulmarseam/http/_addressing.py
+++ b/fulmarseam/http/_addressing.py
@@ -1,4 +1,4 @@
-"""The host and the path that a request is for."""
+"""Find the host and the path in a request target."""
 
 import re
 
@@ -12,22 +12,26 @@
 def find_host_and_path(request: _caller.Request) -> tuple[str, str]:
     """Return the host and the path with its query.
 
-    Raises `errors.FulmarseamError` for a path that a target could resolve
-    to another route.
+    Raises `errors.FulmarseamError` for a malformed request target, and for
+    dot segments, which a target could resolve to the path of another route.
     """
     target = request.target
     host = request.fields.get(b'host', b'')
     if not target.startswith(b'/'):
         match = _ABSOLUTE_FORM.fullmatch(target)
         if match is None:
-            raise _framing.refuse(f'request target {target!r}')
+            raise _framing.make_malformed_error(
+                f'request target {target!r} is no path and no HTTP URL'
+            )
         host = match[1]
         target = match[2] or b'/'
         if target.startswith(b'?'):
             target = b'/' + target
     if b'/.' in target or b'/%2' in target:
         if _DOT_SEGMENT.search(target.partition(b'?')[0]):
-            raise _framing.refuse('dot segment in the path')
+            raise _framing.make_malformed_error(
+                'dot segment in the request path'
+            )
     if b'#' in target:
-        raise _framing.refuse('fragment in the request target')
+        raise _framing.make_malformed_error('fragment in the request target')
     return host.decode('latin-1'), target.decode('latin-1')
--- a/fulmarseam/http/_bodies.py
+++ b/fulmarseam/http/_bodies.py
@@ -1,4 +1,4 @@
-"""Reading of whole request bodies."""
+"""Read whole request bodies into memory."""
 
 from fulmarseam import errors
 from fulmarseam.http import _caller
@@ -9,9 +9,9 @@
 ) -> bytes:
     """Return the whole body of the request in progress.
 
-    The limits of the server bound its size unless `max_bytes` is less.
-    Raises `CallerGoneError`, and `errors.FulmarseamError` for a body that
-    is too large or otherwise to be refused.
+    Its size is limited by `max_bytes` and by the limits of the server.
+    Raises `CallerGoneError` when the caller disconnects, and
+    `errors.FulmarseamError` when the body is too large, malformed or late.
     """
     assert caller.signal is not None
     pieces: list[bytes] = []
@@ -29,7 +29,7 @@
         if max_bytes is not None and size > max_bytes:
             raise errors.FulmarseamError(
                 errors.ErrorKind.BODY_TOO_LARGE,
-                f'the body exceeds {max_bytes} bytes',
+                f'the request body exceeds {max_bytes} bytes',
             )
         if caller.body_done:
             break
--- a/fulmarseam/http/_channel.py
+++ b/fulmarseam/http/_connection.py
@@ -8,19 +8,19 @@
 from fulmarseam.http import _signal
 
 
-class Channel(asyncio.Protocol):
-    """Buffers what a peer sends and notifies the task that runs it.
+class BufferedConnection(asyncio.Protocol):
+    """Buffers bytes from a peer and notifies the task that reads them.
 
-    Received pieces are kept as they are and handed out one at a time, so
-    that the number of bytes held is known. Without a signal (an idle
-    pooled connection), `handle_idle_event` is called instead.
+    Received pieces are kept unchanged and returned one at a time, so that
+    the number of buffered bytes is known. Without a signal (an idle pooled
+    connection), `handle_idle_event` is called instead.
     """
 
     def __init__(self, signal: _signal.Signal | None) -> None:
         self.signal = signal
         self.transport: Any = None
         self.ended = False
-        # Whether the connection ended by an error rather than by a close.
+        # Whether the connection ended with an error.
         self.was_reset = False
         self.write_paused = False
         self._pieces: collections.deque[bytes] = collections.deque()
@@ -28,7 +28,7 @@
         self._read_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Bound the buffers of the transport."""
+        """Store the transport and limit its buffers."""
         self.transport = transport
         self.transport.set_write_buffer_limits(high=_limits.BUFFER_BYTES)
         # The default read size of 256 KiB would exceed the buffer bound.
@@ -36,7 +36,7 @@
             transport.max_size = _limits.BUFFER_BYTES
 
     def data_received(self, data: bytes) -> None:
-        """Keep a piece and stop the peer when the buffer is full."""
+        """Buffer a piece and pause reading when the buffer is full."""
         self._pieces.append(data)
         self._buffered += len(data)
         if self._buffered >= _limits.BUFFER_BYTES and not self._read_paused:
@@ -45,24 +45,24 @@
         self._notify()
 
     def eof_received(self) -> bool:
-        """Note the end; the owner closes the connection."""
+        """Record the end of input; the owner closes the connection."""
         self.ended = True
         self._notify()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end of the connection."""
+        """Record the end of the connection."""
         self.ended = True
         self.was_reset = exc is not None
         self.write_paused = False
         self._notify()
 
     def pause_writing(self) -> None:
-        """Note that the peer reads too slowly."""
+        """Record that the write buffer is full."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Note that the peer has caught up."""
+        """Record that the write buffer has room, and wake the task."""
         self.write_paused = False
         self._notify()
 
@@ -73,7 +73,7 @@
             self.handle_idle_event()
 
     def handle_idle_event(self) -> None:
-        """Handle bytes or an end that no exchange waits for."""
+        """Handle received bytes or a close while no exchange is running."""
 
     def take_piece(self) -> bytes | None:
         """Return the next received piece, or None when there is none."""
@@ -88,25 +88,25 @@
         return piece
 
     def put_back(self, piece: bytes) -> None:
-        """Return the unused rest of a piece to the front of the buffer."""
+        """Put the unused rest of a piece at the front of the buffer."""
         self._pieces.appendleft(piece)
         self._buffered += len(piece)
 
     def has_pieces(self) -> bool:
-        """Return whether received bytes wait to be taken."""
+        """Return whether the buffer holds received bytes."""
         return bool(self._pieces)
 
     @property
     def buffered_bytes(self) -> int:
-        """Return the number of received bytes that wait to be taken."""
+        """Return the number of bytes in the receive buffer."""
         return self._buffered
 
     def close(self) -> None:
-        """Close after all written bytes have been sent."""
+        """Close the connection after all written bytes have been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once and drop what was not sent."""
+        """Close the connection immediately and drop unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
--- a/fulmarseam/http/_failures.py
+++ b/fulmarseam/http/_failures.py
@@ -1,16 +1,16 @@
-"""Failures of an exchange, with how far the request got."""
+"""Failures of an exchange, and the progress of its request."""
 
 import enum
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection before its answer was complete."""
+    """The caller closed its connection before its response was complete."""
 
 
 class Progress(enum.Enum):
-    """How far a request to a target got.
+    """Progress of a request to a target.
 
-    Only with NOT_SENT can the target not have run the request.
+    Only NOT_SENT proves that the target has not run the request.
     """
 
     NOT_SENT = 'not-sent'
@@ -31,7 +31,8 @@
 class TargetError(Exception):
     """A request to a target failed.
 
-    `progress` says how far the request got and `reason` why it failed.
+    `progress` tells whether the target may have run the request, `reason`
+    why the request failed.
     """
 
     def __init__(
--- a/fulmarseam/http/_framing.py
+++ b/fulmarseam/http/_framing.py
@@ -1,9 +1,9 @@
-"""Checks that refuse messages whose framing could be read in two ways.
+"""Refuse messages with ambiguous framing.
 
 h11 accepts line feeds without carriage return, folded header lines,
-repeated equal lengths and a length beside a transfer coding. Another
-program on the path may read these differently, so they are refused here
-before h11 sees them.
+repeated equal Content-Length headers, and Content-Length together with
+Transfer-Encoding. Another HTTP implementation on the path may parse these
+differently, so they are refused before h11 parses them.
 """
 
 from fulmarseam import errors
@@ -14,7 +14,7 @@
 # The last value of each header, by name in lower case.
 Fields = dict[bytes, bytes]
 
-# Headers that belong to one connection and are not passed on.
+# Headers that apply to a single connection and are not forwarded.
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -30,8 +30,8 @@
 )
 
 
-def refuse(detail: str) -> errors.FulmarseamError:
-    """Return the error for a malformed message."""
+def make_malformed_error(detail: str) -> errors.FulmarseamError:
+    """Return the error for a malformed request or response."""
     return errors.FulmarseamError(errors.ErrorKind.MALFORMED_REQUEST, detail)
 
 
@@ -39,13 +39,13 @@
     """Refuse bare line feeds, bare carriage returns, NUL and folding."""
     pairs = head.count(b'\r\n')
     if head.count(b'\n') != pairs:
-        raise refuse('line feed without carriage return')
+        raise make_malformed_error('line feed without carriage return')
     if head.count(b'\r') != pairs and not head.endswith(b'\r'):
-        raise refuse('carriage return without line feed')
+        raise make_malformed_error('carriage return without line feed')
     if b'\0' in head:
-        raise refuse('NUL in the headers')
+        raise make_malformed_error('NUL byte in the headers')
     if b'\n ' in head or b'\n\t' in head:
-        raise refuse('folded header line')
+        raise make_malformed_error('folded header line')
 
 
 def check_length_headers(head: bytes | bytearray) -> None:
@@ -55,31 +55,33 @@
     if lengths == 0:
         return
     if lengths > 1:
-        raise refuse('repeated Content-Length')
+        raise make_malformed_error('repeated Content-Length')
     if b'\ntransfer-encoding' in lower:
-        raise refuse('Content-Length with Transfer-Encoding')
+        raise make_malformed_error('Content-Length with Transfer-Encoding')
     start = lower.index(b'\ncontent-length')
     line = lower[start + 1 : lower.index(b'\r', start)]
     if b',' in line:
-        raise refuse('Content-Length is a list')
+        raise make_malformed_error('Content-Length is a list')
 
 
 def check_version(version: bytes) -> None:
-    """Refuse a major version whose framing is another one."""
+    """Refuse other major versions, as their framing differs."""
     if not version.startswith(b'1.'):
-        raise refuse(f'found HTTP/{version.decode()}, expected HTTP/1.x')
+        raise make_malformed_error(
+            f'found HTTP/{version.decode()}, expected HTTP/1.x'
+        )
 
 
 def is_kept_alive(headers: Headers, fields: Fields) -> bool:
-    """Return whether HTTP/1.1 headers leave the connection open."""
+    """Return whether HTTP/1.1 headers keep the connection open."""
     value = fields.get(b'connection')
     if value is None:
         return True
-    return b'close' not in _list_tokens(headers)
+    return b'close' not in _parse_connection_tokens(headers)
 
 
 def find_length(fields: Fields) -> int | None:
-    """Return the declared length of a body, or None without one.
+    """Return the value of Content-Length, or None without one.
 
     The headers must have passed the checks above and those of h11.
     """
@@ -92,16 +94,19 @@
 ) -> Headers:
     """Return the headers without the dropped ones.
 
-    `dropped` has to include `HOP_BY_HOP`. Headers named by `Connection`
-    are left out as well. Names are in lower case.
+    `dropped` has to include `HOP_BY_HOP`. Headers listed in `Connection`
+    are dropped as well. Names are in lower case.
     """
     if b'connection' in fields:
-        # A caller must not have the framing of its message removed.
-        dropped |= _list_tokens(headers) - {b'content-length', b'host'}
+        # `Connection` must not remove the framing of the message.
+        dropped |= _parse_connection_tokens(headers) - {
+            b'content-length',
+            b'host',
+        }
     return [item for item in headers if item[0] not in dropped]
 
 
-def _list_tokens(headers: Headers) -> set[bytes]:
+def _parse_connection_tokens(headers: Headers) -> set[bytes]:
     """Return all tokens of the `Connection` headers, in lower case."""
     return {
         token.strip()
--- a/fulmarseam/http/_limits.py
+++ b/fulmarseam/http/_limits.py
@@ -2,21 +2,22 @@
 
 import dataclasses
 
-# Bytes held for one direction of a connection before its peer is stopped.
+# Bytes buffered for one direction of a connection before reading pauses.
 BUFFER_BYTES = 64 * 1024
-# Reading goes on when this much of the buffer is left.
+# Reading resumes when the buffer holds no more than this.
 RESUME_BYTES = 16 * 1024
-# Framing lines of a chunked body (sizes, extensions, trailers).
-CHUNK_LINE_BYTES = 16 * 1024
+# Maximum size of the framing lines of a chunked body (sizes, extensions,
+# trailers).
+MAX_CHUNK_LINE_BYTES = 16 * 1024
 
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """Limits of a server; times in seconds.
+    """Limits and time-outs of a server.
 
     `header_timeout_s` runs from the first byte of a request to the end of
     its headers, and from the start of a connection to its first request.
-    `idle_timeout_s` bounds the time between two requests and between two
+    `idle_timeout_s` limits the time between two requests and between two
     pieces of a request body.
     """
 
--- a/fulmarseam/http/_pool.py
+++ b/fulmarseam/http/_pool.py
@@ -12,31 +12,32 @@
 from fulmarseam.http import _target
 
 CONNECT_TIMEOUT_S = 1.0
-# Idle connections are closed before a target with a usual keep-alive
-# time-out of a minute closes them in the middle of a new request.
+# Idle connections are closed before a target with the usual keep-alive
+# time-out of one minute would close them during a new request.
 IDLE_TIMEOUT_S = 30.0
 SWEEP_INTERVAL_S = 5.0
-# Time before the end of the keep-alive that a target states in which its
-# connections are not used any more: the request would cross the close.
+# Idle connections are not reused during this time before the keep-alive
+# time-out of the target: it could close them while a request is on its way.
 KEEP_ALIVE_MARGIN_S = 1.5
-# Connections that were idle for less are always used again.
-IDLE_CAP_MIN_S = 0.2
-# A connection whose sent bytes nobody acknowledges is given up after this
-# time. A single lost packet is sent again after 0.2 to 0.6 s.
-USER_TIMEOUT_MS = 1_500
+# Lower bound of the idle time-out after lost connections.
+MIN_IDLE_CAP_S = 0.2
+# TCP closes a connection whose sent bytes stay unacknowledged for this long.
+# A single lost packet is retransmitted after 0.2 to 0.6 s.
+TCP_USER_TIMEOUT_MS = 1_500
 
 _KEEP_ALIVE = re.compile(rb'timeout=(\d{1,6})')
 
 
 class TargetPool:
-    """The connections to one target, in use and idle, within a limit."""
+    """A limited number of connections to one target, in use and idle."""
 
     def __init__(self, address: str, limit: int) -> None:
         self.address = address
         self.limit = limit
         self.in_use = 0
         self.idle_timeout_s = IDLE_TIMEOUT_S
-        # Below what the target states, once it has closed sooner.
+        # Upper bound for the keep-alive that the target states; lowered when
+        # the target closes idle connections sooner.
         self._idle_cap_s = IDLE_TIMEOUT_S
         self._idle: list[_target.TargetConnection] = []
 
@@ -56,11 +57,11 @@
     ) -> _target.TargetConnection | None:
         """Return an idle connection that is still open, if any."""
         now = asyncio.get_running_loop().time()
-        oldest = now - self.idle_timeout_s
+        idle_since_min = now - self.idle_timeout_s
         while self._idle:
             connection = self._idle.pop()
-            is_old = connection.idle_since < oldest
-            if is_old or connection.ended or connection.has_pieces():
+            is_expired = connection.idle_since < idle_since_min
+            if is_expired or connection.ended or connection.has_pieces():
                 connection.abort()
                 continue
             connection.signal = signal
@@ -70,21 +71,21 @@
         return None
 
     def apply_keep_alive(self, response: _target.Response) -> None:
-        """Take over how long the target keeps idle connections."""
-        stated = _KEEP_ALIVE.search(response.fields.get(b'keep-alive', b''))
-        if stated is None:
+        """Apply the keep-alive time-out that the target states."""
+        match = _KEEP_ALIVE.search(response.fields.get(b'keep-alive', b''))
+        if match is None:
             return
-        idle_s = max(0.0, int(stated[1]) - KEEP_ALIVE_MARGIN_S)
+        idle_s = max(0.0, int(match[1]) - KEEP_ALIVE_MARGIN_S)
         self.idle_timeout_s = min(idle_s, self._idle_cap_s)
 
     def lower_idle_timeout(self, idle_s: float) -> None:
-        """Note that a connection was lost after it had been idle.
+        """Lower the idle time-out after a reused connection was lost.
 
-        Connections that were idle for half as long are not used again, and
-        those that wait now are as doubtful as the lost one.
+        `idle_s` is how long it had been idle; the new time-out is half of
+        that. Idle connections beyond it are closed, as they may be lost too.
         """
         self._idle_cap_s = min(
-            self._idle_cap_s, max(idle_s / 2, IDLE_CAP_MIN_S)
+            self._idle_cap_s, max(idle_s / 2, MIN_IDLE_CAP_S)
         )
         self.idle_timeout_s = min(self.idle_timeout_s, self._idle_cap_s)
         self.close_idle(
@@ -100,9 +101,9 @@
         the target cannot be reached.
         """
         if self.in_use + len(self._idle) >= self.limit:
-            raise self._fail(
+            raise self._make_error(
                 _failures.Reason.NO_CONNECTION_LEFT,
-                f'{self.limit} connections in use',
+                f'limit of {self.limit} connections reached',
             )
         self.in_use += 1
         try:
@@ -122,20 +123,20 @@
                     lambda: _target.TargetConnection(signal), host, port
                 )
         except TimeoutError:
-            raise self._fail(
-                _failures.Reason.CONNECT_FAILED, 'no connection in time'
+            raise self._make_error(
+                _failures.Reason.CONNECT_FAILED, 'connect timed out'
             ) from None
         except OSError as error:
-            raise self._fail(
+            raise self._make_error(
                 _failures.Reason.CONNECT_FAILED, str(error.strerror or error)
             ) from error
-        connection.on_idle_event = self._drop
+        connection.on_idle_event = self._drop_idle
         connection.transport.get_extra_info('socket').setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
         )
         return connection
 
-    def _fail(
+    def _make_error(
         self, reason: _failures.Reason, detail: str
     ) -> _failures.TargetError:
         return _failures.TargetError(
@@ -143,10 +144,10 @@
         )
 
     def release(self, connection: _target.TargetConnection) -> None:
-        """Take back a connection; it is closed unless it may be reused."""
+        """Return a connection to the pool, or close it if not reusable."""
         self.in_use -= 1
-        full = self.in_use + len(self._idle) >= self.limit
-        if full or not connection.is_reusable():
+        is_full = self.in_use + len(self._idle) >= self.limit
+        if is_full or not connection.is_reusable():
             connection.signal = None
             connection.on_idle_event = None
             connection.abort()
@@ -154,13 +155,13 @@
         connection.park()
         self._idle.append(connection)
 
-    def _drop(self, connection: _target.TargetConnection) -> None:
+    def _drop_idle(self, connection: _target.TargetConnection) -> None:
         if connection in self._idle:
             self._idle.remove(connection)
         connection.abort()
 
     def close_idle(self, before: float) -> None:
-        """Close the connections that are idle since `before` or longer."""
+        """Close the connections that became idle at `before` or earlier."""
         kept = []
         for connection in self._idle:
             if connection.idle_since <= before:
@@ -171,7 +172,7 @@
 
 
 class TargetPools:
-    """The pools of all targets, by address; a context manager."""
+    """Connection pools by target address; a context manager."""
 
     def __init__(self) -> None:
         self._pools: dict[str, TargetPool] = {}
@@ -191,7 +192,7 @@
             pool.close_idle(now)
 
     def get(self, address: str, limit: int) -> TargetPool:
-        """Return the pool of a target with its limit set."""
+        """Return the pool of a target and set its limit."""
         pool = self._pools.get(address)
         if pool is None:
             pool = self._pools[address] = TargetPool(address, limit)
@@ -200,7 +201,10 @@
         return pool
 
     def set_limits(self, limits: dict[str, int]) -> None:
-        """Set the limits of all targets; others lose idle connections."""
+        """Set the limits of all targets.
+
+        Targets that are not listed lose their idle connections.
+        """
         for address, pool in self._pools.items():
             limit = limits.get(address, pool.in_use)
             if pool.limit != limit:
--- a/fulmarseam/http/_server.py
+++ b/fulmarseam/http/_server.py
@@ -18,46 +18,46 @@
 ]
 
 LISTEN_BACKLOG = 1_024
-# Shortest and longest time between two looks for expired connections.
-SWEEP_MIN_S = 0.01
-SWEEP_MAX_S = 1.0
-# A caller that still sends while it is refused gets this long to read the
-# answer; an earlier close would reset the connection and drop the answer.
-LINGER_S = 1.0
-LINGER_BYTES = 1024 * 1024
+# Shortest and longest time between two checks for expired connections.
+SWEEP_INTERVAL_MIN_S = 0.01
+SWEEP_INTERVAL_MAX_S = 1.0
+# A caller that is still sending after the response gets this long to read it.
+# Closing earlier would reset the connection and lose the response.
+LINGER_TIMEOUT_S = 1.0
+LINGER_MAX_BYTES = 1024 * 1024
 
 _log = logbook.Logger('http')
 
 
 class LocalResponse(NamedTuple):
-    """An answer made by the server itself."""
+    """A response made by the server itself, not by a target."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
 
 
-AnswerError = Callable[[errors.FulmarseamError], LocalResponse]
+ErrorResponder = Callable[[errors.FulmarseamError], LocalResponse]
 
 
 class Server:
     """Serves callers on one address until the context ends.
 
-    `handler` runs once for each request, in the connection's task. A
-    `FulmarseamError` from it, or for a request that is refused, is
-    answered by what `answer_error` returns.
+    `handler` runs once for each request, in the task of its connection.
+    `make_error_response` makes the response for a `FulmarseamError` that the
+    handler raises, and for a request that is refused.
     """
 
     def __init__(
         self,
         address: str,
         handler: Handler,
-        answer_error: AnswerError,
+        make_error_response: ErrorResponder,
         limits: _limits.Limits | None = None,
     ) -> None:
         self._address = address
         self._handler = handler
-        self._answer_error = answer_error
+        self._make_error_response = make_error_response
         self._limits = limits or _limits.Limits()
         self._listener: asyncio.Server | None = None
         self._sweeper: asyncio.Task[None] | None = None
@@ -104,25 +104,25 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def set_limits(self, limits: _limits.Limits) -> None:
-        """Use other limits for the connections to come."""
+        """Change the limits of new connections."""
         self._limits = limits
 
     def close_listener(self) -> None:
-        """Accept no new connections."""
+        """Stop accepting new connections."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
 
     def announce_close(self) -> None:
-        """Close each connection after its next answer."""
+        """Close each connection after its next response."""
         self._draining = True
         for connection in self._tasks.values():
             connection.closing = True
 
     def start_draining(self) -> None:
-        """Close each connection after the answer in progress.
+        """Close each connection after the response in progress.
 
-        Idle connections are closed at once.
+        Idle connections are closed immediately.
         """
         self.announce_close()
         for connection in list(self._tasks.values()):
@@ -130,14 +130,14 @@
                 connection.expire()
 
     async def wait_closed(self) -> None:
-        """Return when no connection is left."""
+        """Wait until all connections are closed."""
         while self._tasks:
             await asyncio.wait(list(self._tasks))
 
     def _accept(self) -> _caller.CallerConnection:
         connection = _caller.CallerConnection(self._limits)
         connection.closing = self._draining
-        connection.on_made = self._start
+        connection.on_connection_made = self._start
         return connection
 
     def _start(self, connection: _caller.CallerConnection) -> None:
@@ -150,9 +150,9 @@
             return
         task = asyncio.create_task(self._serve(connection))
         self._tasks[task] = connection
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._remove_task)
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
+    def _remove_task(self, task: asyncio.Task[None]) -> None:
         self._tasks.pop(task, None)
         if not task.cancelled() and task.exception() is not None:
             _log.error('event=connection_failed error={!r}', task.exception())
@@ -162,7 +162,7 @@
             try:
                 await self._serve_requests(connection)
             except errors.FulmarseamError as error:
-                self._refuse(connection, error)
+                self._send_error_response(connection, error)
             if connection.response_done and not connection.ended:
                 await linger(connection)
         except _failures.CallerGoneError:
@@ -180,7 +180,7 @@
             if request is None:
                 return
             await self._handle(request, connection)
-            if not connection.finish_cycle():
+            if not connection.prepare_next_request():
                 return
 
     async def _handle(
@@ -192,8 +192,8 @@
         except errors.FulmarseamError as error:
             if connection.response_started:
                 raise
-            answer = self._answer_error(error)
-            connection.send_response(*answer)
+            response = self._make_error_response(error)
+            connection.send_response(*response)
         except (_failures.CallerGoneError, asyncio.CancelledError):
             raise
         except Exception:
@@ -202,7 +202,7 @@
         finally:
             self._active_requests -= 1
 
-    def _refuse(
+    def _send_error_response(
         self,
         connection: _caller.CallerConnection,
         error: errors.FulmarseamError,
@@ -212,7 +212,7 @@
         if connection.response_started and not connection.response_done:
             connection.abort()
             return
-        connection.refuse(*self._answer_error(error))
+        connection.send_final_response(*self._make_error_response(error))
 
     async def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
@@ -220,7 +220,9 @@
             shortest = min(
                 self._limits.header_timeout_s, self._limits.idle_timeout_s
             )
-            interval = min(max(shortest / 4, SWEEP_MIN_S), SWEEP_MAX_S)
+            interval = min(
+                max(shortest / 4, SWEEP_INTERVAL_MIN_S), SWEEP_INTERVAL_MAX_S
+            )
             await asyncio.sleep(interval)
             now = loop.time()
             for connection in list(self._tasks.values()):
@@ -231,13 +233,15 @@
 async def linger(connection: _caller.CallerConnection) -> None:
     """Close a connection whose caller may still be sending.
 
-    The sending side is closed first; what still arrives is dropped until
-    the caller closes, within bounds.
+    Closes the sending side first, then drops received bytes until the
+    caller closes or a limit of time or bytes is reached.
     """
     if connection.transport.is_closing():
         return
     connection.expired = False
-    connection.expires_at = asyncio.get_running_loop().time() + LINGER_S
+    connection.expires_at = (
+        asyncio.get_running_loop().time() + LINGER_TIMEOUT_S
+    )
     if connection.transport.can_write_eof():
         connection.transport.write_eof()
     assert connection.signal is not None
@@ -248,7 +252,7 @@
             await connection.signal.wait()
             continue
         dropped += len(piece)
-        if dropped > LINGER_BYTES:
+        if dropped > LINGER_MAX_BYTES:
             return
 
 
--- a/fulmarseam/http/_signal.py
+++ b/fulmarseam/http/_signal.py
@@ -1,15 +1,15 @@
-"""A wake-up for the one task that runs an exchange."""
+"""Wake the task that runs an exchange."""
 
 import asyncio
 
 
 class Signal:
-    """Wakes one waiting task; a notification is never lost.
+    """Wakes one waiting task and remembers a notification until its wait.
 
-    The connections of both sides of a proxied request share one signal, so
-    that one task can wait for either side without a task for each::
+    Both connections of a proxied request share one signal, so that one task
+    can wait for either::
 
-        while not connection.has_news():
+        while (response := connection.poll_response()) is None:
             await signal.wait()
     """
 
@@ -21,7 +21,7 @@
         self._notified = False
 
     def notify(self) -> None:
-        """Wake the waiting task, or let the next wait return at once."""
+        """Wake the waiting task, or let the next wait return immediately."""
         self._notified = True
         future = self._future
         if future is not None and not future.done():
--- a/fulmarseam/http/_target.py
+++ b/fulmarseam/http/_target.py
@@ -1,4 +1,4 @@
-"""The client's side of one connection to a target."""
+"""The client side of a connection to a target."""
 
 import asyncio
 from typing import Any
@@ -7,7 +7,7 @@
 import h11
 
 from fulmarseam import errors
-from fulmarseam.http import _channel
+from fulmarseam.http import _connection
 from fulmarseam.http import _failures
 from fulmarseam.http import _framing
 from fulmarseam.http import _signal
@@ -29,10 +29,10 @@
     fields: dict[bytes, bytes]
 
 
-class TargetConnection(_channel.Channel):
+class TargetConnection(_connection.BufferedConnection):
     """Sends one request at a time to a target and reads its response.
 
-    All calls return at once; the owner of the signal waits between them::
+    No call blocks; the owner of the signal waits between calls::
 
         connection.send_head(b'GET', b'/', headers)
         connection.end_request()
@@ -42,25 +42,25 @@
 
     def __init__(self, signal: _signal.Signal | None) -> None:
         super().__init__(signal)
-        self._h11 = _open_parser()
+        self._h11 = _make_parser()
         self._head = bytearray()
         self._head_done = False
         self._method = b''
         self._keep_alive = True
-        # Bytes left of a body with a length, which needs no h11; None for
-        # a body that h11 frames.
-        self._request_left: int | None = 0
-        self._body_left: int | None = 0
-        self._out: list[bytes] = []
+        # Remaining bytes of a body of known length, which bypasses h11;
+        # None for a body whose framing h11 handles.
+        self._request_bytes_left: int | None = 0
+        self._response_bytes_left: int | None = 0
+        self._output: list[bytes] = []
         self.progress = _failures.Progress.NOT_SENT
         self.request_done = False
         self.idle_since = 0.0
-        # How long the connection was idle before its present request.
+        # How long the connection was idle before the current request.
         self.idle_before_request_s = 0.0
         self.on_idle_event: Any = None
 
     def handle_idle_event(self) -> None:
-        """Drop a pooled connection that ends or sends unasked bytes."""
+        """Drop a pooled connection that closes or sends unexpected bytes."""
         if self.on_idle_event is not None:
             self.on_idle_event(self)
 
@@ -76,120 +76,130 @@
         """Queue the head of a request.
 
         The body is framed by `content-length` or `transfer-encoding` in
-        `headers`, or empty without either. `headers_validated` headers have
-        been read by h11 and are not checked again, which saves 12 us.
+        `headers`, or empty without either. With `headers_validated`, h11 has
+        parsed the headers before and does not validate them again, which
+        saves 12 us.
         """
         fields = dict(headers)
         self.progress = _failures.Progress.NOT_SENT
         self.request_done = False
         self._head_done = False
         self._method = method
-        self._request_left = None
+        self._request_bytes_left = None
         if b'transfer-encoding' not in fields:
-            self._request_left = _framing.find_length(fields) or 0
+            self._request_bytes_left = _framing.find_length(fields) or 0
         event = h11.Request(
             method=method,
             target=target,
             headers=headers,
             _parsed=headers_validated,
         )
-        self._out.append(self._h11.send(event))
+        self._output.append(self._h11.send(event))
 
     def send_data(self, data: bytes) -> None:
         """Queue a piece of the body.
 
-        Raises `ValueError` for more bytes than the length allows.
+        Raises `ValueError` when the body exceeds its content length.
         """
-        if self._request_left is None:
-            self._out.append(self._h11.send(h11.Data(data=data)))
+        if self._request_bytes_left is None:
+            self._output.append(self._h11.send(h11.Data(data=data)))
             return
-        if len(data) > self._request_left:
-            raise ValueError('the body exceeds its length')
-        self._request_left -= len(data)
-        self._out.append(data)
+        if len(data) > self._request_bytes_left:
+            raise ValueError('the request body exceeds its content length')
+        self._request_bytes_left -= len(data)
+        self._output.append(data)
 
     def end_request(self) -> None:
-        """Queue the end of the body and write what is queued.
+        """Queue the end of the body and write all queued bytes.
 
-        Raises `ValueError` for fewer bytes than the length says.
+        Raises `ValueError` when the body is shorter than its content length.
         """
-        if self._request_left is None:
-            self._out.append(self._h11.send(h11.EndOfMessage()))
-        elif self._request_left:
-            raise ValueError('the body is shorter than its length')
+        if self._request_bytes_left is None:
+            self._output.append(self._h11.send(h11.EndOfMessage()))
+        elif self._request_bytes_left:
+            raise ValueError(
+                'the request body is shorter than its content length'
+            )
         self.request_done = True
         self.flush()
 
     def flush(self) -> None:
-        """Write what is queued.
+        """Write all queued bytes.
 
         Raises `TargetError` with NOT_SENT when the connection had ended
         before any byte of the request was written.
         """
-        out = self._out
-        self._out = []
+        out = self._output
+        self._output = []
         if self.ended or self.transport.is_closing():
-            raise self._fail(_failures.Reason.BROKEN, 'connection ended')
+            raise self._make_error(
+                _failures.Reason.BROKEN, 'connection closed'
+            )
         self.progress = _failures.Progress.MAY_HAVE_SENT
         self.transport.write(out[0] if len(out) == 1 else b''.join(out))
 
     # Response
 
     def poll_response(self) -> Response | None:
-        """Return the head of the final response, or None before it came.
+        """Return the head of the final response, or None until it arrives.
 
         Interim responses are dropped. Raises `TargetError` when the
-        connection broke or the response is malformed.
+        connection fails or the response is malformed.
         """
         while True:
-            if not self._head_done and not self._take_head():
+            if not self._head_done and not self._read_head():
                 return None
             event = self._next_event()
             self._head_done = False
             if type(event) is h11.InformationalResponse:
                 if event.status_code == 101:
-                    raise self._fail(
-                        _failures.Reason.MALFORMED, 'unasked upgrade'
+                    raise self._make_error(
+                        _failures.Reason.MALFORMED, 'unrequested upgrade'
                     )
                 continue
             if type(event) is not h11.Response:
-                raise self._fail(_failures.Reason.MALFORMED, 'no response')
+                raise self._make_error(
+                    _failures.Reason.MALFORMED, 'not a response'
+                )
             return self._start_body(event)
 
     def _start_body(self, event: h11.Response) -> Response:
         if not event.http_version.startswith(b'1.'):
-            raise self._fail(_failures.Reason.MALFORMED, 'not HTTP/1.x')
+            raise self._make_error(_failures.Reason.MALFORMED, 'not HTTP/1.x')
         status = event.status_code
         headers = [
             (name.lower(), value) for name, value in event.headers.raw_items()
         ]
         fields = dict(headers)
-        is_new = event.http_version >= b'1.1'
-        self._keep_alive = is_new and _framing.is_kept_alive(headers, fields)
+        is_http_1_1 = event.http_version >= b'1.1'
+        self._keep_alive = is_http_1_1 and _framing.is_kept_alive(
+            headers, fields
+        )
         if self._method == b'HEAD' or status in (204, 304):
-            self._body_left = 0
+            self._response_bytes_left = 0
         else:
-            self._body_left = _framing.find_length(fields)
-            if self._body_left is None and (
+            self._response_bytes_left = _framing.find_length(fields)
+            if self._response_bytes_left is None and (
                 b'transfer-encoding' not in fields
             ):
-                # The body ends with the connection.
+                # The end of the connection delimits the body.
                 self._keep_alive = False
         return Response(status, bytes(event.reason), headers, fields)
 
-    def _take_head(self) -> bool:
-        """Pass one head to h11 after the framing checks."""
+    def _read_head(self) -> bool:
+        """Pass a complete head to h11 after checks, or return False."""
         while (piece := self.take_piece()) is not None:
             start = max(0, len(self._head) - 3)
             self._head += piece
             end = self._head.find(_framing.HEAD_END, start)
             if end >= 0:
-                self._feed_head(end + len(_framing.HEAD_END))
+                self._pass_head_to_parser(end + len(_framing.HEAD_END))
                 return True
             self._check_partial_head()
         if self.ended:
-            raise self._fail(
-                _failures.Reason.BROKEN, 'connection ended before a response'
+            raise self._make_error(
+                _failures.Reason.BROKEN,
+                'connection closed before the response',
             )
         return False
 
@@ -199,11 +209,12 @@
 
     def _check_head_size(self, size: int) -> None:
         if size > MAX_RESPONSE_HEADER_BYTES:
-            raise self._fail(
-                _failures.Reason.MALFORMED, 'response headers too large'
+            raise self._make_error(
+                _failures.Reason.MALFORMED,
+                'the response headers are too large',
             )
 
-    def _feed_head(self, length: int) -> None:
+    def _pass_head_to_parser(self, length: int) -> None:
         head = bytes(self._head[:length])
         rest = bytes(self._head[length:])
         self._head.clear()
@@ -220,7 +231,7 @@
             if complete:
                 _framing.check_length_headers(head)
         except errors.FulmarseamError as error:
-            raise self._fail(
+            raise self._make_error(
                 _failures.Reason.MALFORMED, error.detail
             ) from error
 
@@ -231,36 +242,37 @@
             reason = _failures.Reason.MALFORMED
             if self.ended:
                 reason = _failures.Reason.BROKEN
-            raise self._fail(reason, str(error)) from error
+            raise self._make_error(reason, str(error)) from error
 
     def poll_body(self) -> bytes | None:
-        """Return the next piece of the body, or None when none is there.
+        """Return the next piece of the body, or None when none has arrived.
 
         An empty piece is the end of the body. Raises `TargetError` when
         the body is truncated or malformed.
         """
-        if self._body_left is not None:
-            return self._poll_plain_body(self._body_left)
-        return self._poll_framed_body()
+        if self._response_bytes_left is not None:
+            return self._poll_sized_body(self._response_bytes_left)
+        return self._poll_unsized_body()
 
-    def _poll_plain_body(self, left: int) -> bytes | None:
+    def _poll_sized_body(self, left: int) -> bytes | None:
         if not left:
             self.progress = _failures.Progress.COMPLETE
             return b''
         piece = self.take_piece()
         if piece is None:
             if self.ended:
-                raise self._fail(
-                    _failures.Reason.BROKEN, f'{left} bytes are missing'
+                raise self._make_error(
+                    _failures.Reason.BROKEN,
+                    f'{left} bytes of the body are missing',
                 )
             return None
         if len(piece) > left:
             self.put_back(piece[left:])
             piece = piece[:left]
-        self._body_left = left - len(piece)
+        self._response_bytes_left = left - len(piece)
         return piece
 
-    def _poll_framed_body(self) -> bytes | None:
+    def _poll_unsized_body(self) -> bytes | None:
         while True:
             event = self._next_event()
             kind = type(event)
@@ -273,38 +285,39 @@
             if piece is not None:
                 self._h11.receive_data(piece)
             elif self.was_reset:
-                raise self._fail(
-                    _failures.Reason.BROKEN, 'connection reset in the body'
+                raise self._make_error(
+                    _failures.Reason.BROKEN, 'connection reset within the body'
                 )
             elif self.ended:
-                # Ends a body that is delimited by the end of connection.
+                # End a body that the end of the connection delimits.
                 self._h11.receive_data(b'')
             else:
                 return None
 
-    def _fail(
+    def _make_error(
         self, reason: _failures.Reason, detail: str
     ) -> _failures.TargetError:
         return _failures.TargetError(reason, self.progress, detail)
 
     def expect_next_response(self) -> None:
-        """Get ready for the response that follows one that was read.
+        """Discard the response just read and wait for the next one.
 
-        A target may send a response twice; the second one arrives in
+        A target may send a response twice; the duplicate then arrives in
         place of the response to the next request. Raises `TargetError`
         when no other response can follow on this connection.
         """
         self.progress = _failures.Progress.MAY_HAVE_SENT
         if not self._keep_alive or not self.request_done:
-            raise self._fail(
-                _failures.Reason.MALFORMED, 'the response is a stray one'
+            raise self._make_error(
+                _failures.Reason.MALFORMED, 'response to another request'
             )
         left = bytes(self._h11.trailing_data[0])
         if left:
             self.put_back(left)
         self._head_done = False
-        self._h11 = _open_parser()
-        # The parser has to know the method; the bytes were sent before.
+        self._h11 = _make_parser()
+        # The new parser needs the method; the request itself was already
+        # sent, so these bytes are discarded.
         self._h11.send(
             h11.Request(
                 method=self._method, target=b'/', headers=[(b'host', b'x')]
@@ -317,8 +330,8 @@
     def is_reusable(self) -> bool:
         """Return whether another request may use this connection.
 
-        Only after a complete response whose request was fully sent, with
-        no byte left over and the connection kept open by the target.
+        The request must be fully sent and the response complete, without
+        surplus bytes, and the target must keep the connection open.
         """
         if self.ended or self.transport.is_closing() or self._pieces:
             return False
@@ -329,13 +342,13 @@
         return self._keep_alive and not self._h11.trailing_data[0]
 
     def park(self) -> None:
-        """Make ready for the next request."""
-        self._h11 = _open_parser()
+        """Reset the parser and mark the connection as idle."""
+        self._h11 = _make_parser()
         self.signal = None
         self.idle_since = asyncio.get_running_loop().time()
 
 
-def _open_parser() -> h11.Connection:
+def _make_parser() -> h11.Connection:
     return h11.Connection(
         h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEADER_BYTES
     )
--- a/fulmarseam/telemetry/__init__.py
+++ b/fulmarseam/telemetry/__init__.py
@@ -1,10 +1,10 @@
-"""Logs of key=value lines, traces and metrics."""
+"""Logs with key=value lines, traces and metrics."""
 
 from fulmarseam.telemetry._logs import format_event
 from fulmarseam.telemetry._logs import open_log
 from fulmarseam.telemetry._logs import unquote
 from fulmarseam.telemetry._metrics import Metrics
-from fulmarseam.telemetry._requests import RequestLog
+from fulmarseam.telemetry._request_log import RequestLog
 from fulmarseam.telemetry._stream import BoundedStream
 from fulmarseam.telemetry._traces import open_traces
 from fulmarseam.telemetry._traces import Span
--- a/fulmarseam/telemetry/_logs.py
+++ b/fulmarseam/telemetry/_logs.py
@@ -13,26 +13,26 @@
     'time={record.time:%Y-%m-%dT%H:%M:%S.%f}Z level={record.level_name} '
     'logger={record.channel} {record.message}'
 )
-_ESCAPE = re.compile(r'\\(.)')
-_PLAIN = frozenset(
+_ESCAPE_SEQUENCE = re.compile(r'\\(.)')
+_UNQUOTED_CHARACTERS = frozenset(
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/@+,%'
 )
 
 
 class LineStream(Protocol):
-    """What log lines are written to."""
+    """A stream that takes log lines."""
 
     def write(self, text: str) -> object:
-        """Take a part of a line."""
+        """Write a part of a line."""
 
     def flush(self) -> None:
-        """Pass on what was written."""
+        """Pass on all text written so far."""
 
 
 def format_event(event: str, **fields: Any) -> str:
-    """Return the text of one event.
+    """Format one event as key=value pairs.
 
-    Values with other than plain characters are quoted::
+    Values with characters that are not in the unquoted set are quoted::
 
         format_event('edit_accepted', revision=7)
         'event=edit_accepted revision=7'
@@ -44,17 +44,17 @@
 
 def _quote(value: Any) -> str:
     text = f'{value:.3f}' if isinstance(value, float) else str(value)
-    if text and all(character in _PLAIN for character in text):
+    if text and all(character in _UNQUOTED_CHARACTERS for character in text):
         return text
     escaped = text.replace('\\', '\\\\').replace('"', '\\"')
     return '"' + escaped.replace('\n', '\\n') + '"'
 
 
 def unquote(text: str) -> str:
-    """Return the value that `format_event` wrote as `text`."""
+    """Return the original value of `text` as written by `format_event`."""
     if not text.startswith('"'):
         return text
-    return _ESCAPE.sub(
+    return _ESCAPE_SEQUENCE.sub(
         lambda match: '\n' if match[1] == 'n' else match[1], text[1:-1]
     )
 
@@ -63,9 +63,9 @@
 def open_log(
     path: str | None, level: str, stream: LineStream | None = None
 ) -> Iterator[None]:
-    """Send log lines to a file, or without a path to a stream.
+    """Write log lines to a file, or to a stream without a path.
 
-    The stream is standard error unless another one is given.
+    The stream defaults to standard error.
     """
     handler: Any
     if path is None:
--- a/fulmarseam/telemetry/_metrics.py
+++ b/fulmarseam/telemetry/_metrics.py
@@ -1,6 +1,6 @@
 """Counters, gauges and latency percentiles, rendered as text.
 
-The text has the usual exposition format of metrics pages::
+The text uses the common exposition format of metrics pages::
 
     metrics = Metrics()
     metrics.add('requests_total', route='katalog')
@@ -13,9 +13,9 @@
 
 from hdrh import histogram as hdr
 
-MICROSECONDS = 1_000_000
-LOWEST_US = 1
-HIGHEST_US = 600 * MICROSECONDS
+MICROSECONDS_PER_S = 1_000_000
+MIN_DURATION_US = 1
+MAX_DURATION_US = 600 * MICROSECONDS_PER_S
 SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
@@ -47,29 +47,31 @@
         histogram = self._histograms.get(key)
         if histogram is None:
             histogram = hdr.HdrHistogram(
-                LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS
+                MIN_DURATION_US, MAX_DURATION_US, SIGNIFICANT_DIGITS
             )
             self._histograms[key] = histogram
             self._sums[key] = 0.0
-        value = int(seconds * MICROSECONDS)
-        histogram.record_value(min(max(value, LOWEST_US), HIGHEST_US))
+        value = int(seconds * MICROSECONDS_PER_S)
+        histogram.record_value(
+            min(max(value, MIN_DURATION_US), MAX_DURATION_US)
+        )
         self._sums[key] += seconds
 
     def percentile(
         self, name: str, percentile: float, **labels: str
     ) -> float | None:
-        """Return a percentile in seconds, or None without any value."""
+        """Return a percentile in seconds, or None if nothing was recorded."""
         histogram = self._histograms.get(_make_key(name, labels))
         if histogram is None:
             return None
         value: int = histogram.get_value_at_percentile(percentile)
-        return value / MICROSECONDS
+        return value / MICROSECONDS_PER_S
 
     def register_gauge(
-        self, name: str, read: Callable[[], float], **labels: str
+        self, name: str, read_value: Callable[[], float], **labels: str
     ) -> None:
         """Register a gauge that is read when the page is rendered."""
-        self._gauges[_make_key(name, labels)] = read
+        self._gauges[_make_key(name, labels)] = read_value
 
     def render(self) -> str:
         """Return the metrics page."""
@@ -78,8 +80,8 @@
             for key, value in self._counters.items()
         ]
         lines.extend(
-            f'{_render_key(key)} {read():g}'
-            for key, read in self._gauges.items()
+            f'{_render_key(key)} {read_value():g}'
+            for key, read_value in self._gauges.items()
         )
         for key, histogram in self._histograms.items():
             lines.extend(self._render_histogram(key, histogram))
@@ -111,7 +113,7 @@
     name, labels = key
     if not labels:
         return f'fulmarseam_{name}'
-    pairs = ','.join(f'{label}="{_escape(text)}"' for label, text in labels)
+    pairs = ','.join(f'{label}="{_escape(value)}"' for label, value in labels)
     return f'fulmarseam_{name}{{{pairs}}}'
 
 
--- a/fulmarseam/telemetry/_stream.py
+++ b/fulmarseam/telemetry/_stream.py
@@ -1,17 +1,18 @@
-"""A stream for log lines that never holds up the process."""
+"""A non-blocking stream for log lines."""
 
 import collections
 import os
 
-# Bytes kept while nobody reads; a line has about 250 bytes.
+# Bytes buffered while nothing reads the descriptor; a line has about 250
+# bytes.
 MAX_BUFFERED_BYTES = 1024 * 1024
 
 
 class BoundedStream:
-    """Writes lines to a descriptor and drops the oldest if it is full.
+    """Writes lines to a file descriptor and drops the oldest when full.
 
-    The number of dropped lines is reported in a line of its own as soon as
-    the descriptor takes bytes again::
+    The number of dropped lines is logged in a line of its own as soon as
+    the descriptor accepts bytes again::
 
         stream = BoundedStream(sys.stdout.fileno())
         stream.write('event=started\\n')
@@ -22,42 +23,42 @@
         self._descriptor = descriptor
         os.set_blocking(descriptor, False)
         self._lines: collections.deque[bytes] = collections.deque()
-        self._buffered = 0
-        # The rest of a line of which a part has been written.
-        self._rest = b''
-        self.dropped = 0
+        self._buffered_bytes = 0
+        # Unwritten rest of a partly written line.
+        self._partial_line = b''
+        self.dropped_lines = 0
 
     def write(self, text: str) -> int:
-        """Keep a line, in place of the oldest ones if there are too many."""
+        """Buffer a line, dropping the oldest lines when the buffer is full."""
         line = text.encode('utf-8', 'backslashreplace')
         self._lines.append(line)
-        self._buffered += len(line)
-        while self._buffered > MAX_BUFFERED_BYTES:
-            self._buffered -= len(self._lines.popleft())
-            self.dropped += 1
+        self._buffered_bytes += len(line)
+        while self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._buffered_bytes -= len(self._lines.popleft())
+            self.dropped_lines += 1
         return len(text)
 
     def flush(self) -> None:
-        """Write what the descriptor takes now; the rest stays."""
+        """Write what the descriptor accepts now; keep the rest."""
         try:
-            while self._rest or self._lines:
-                if not self._rest:
-                    self._rest = self._take_next()
-                written = os.write(self._descriptor, self._rest)
-                self._rest = self._rest[written:]
+            while self._partial_line or self._lines:
+                if not self._partial_line:
+                    self._partial_line = self._pop_line()
+                written = os.write(self._descriptor, self._partial_line)
+                self._partial_line = self._partial_line[written:]
         except BlockingIOError:
             return
         except OSError:
-            # Nobody can read the lines any more, so there is nowhere to
-            # report this to.
+            # The reader has closed the descriptor, so there is nowhere to
+            # report this.
             self._lines.clear()
-            self._rest = b''
-            self._buffered = 0
+            self._partial_line = b''
+            self._buffered_bytes = 0
 
-    def _take_next(self) -> bytes:
-        if self.dropped:
-            dropped, self.dropped = self.dropped, 0
+    def _pop_line(self) -> bytes:
+        if self.dropped_lines:
+            dropped, self.dropped_lines = self.dropped_lines, 0
             return f'event=log_lines_dropped lines={dropped}\n'.encode()
         line = self._lines.popleft()
-        self._buffered -= len(line)
+        self._buffered_bytes -= len(line)
         return line
--- a/fulmarseam/telemetry/_traces.py
+++ b/fulmarseam/telemetry/_traces.py
@@ -1,7 +1,7 @@
 """Traces with a span for each hop, written to a file.
 
-Spans are exported one JSON object a line, on the event loop's thread, so
-that no exporter thread runs beside the loop.
+Spans are exported as one JSON object per line, in the thread of the event
+loop, so that no exporter thread is needed.
 """
 
 from collections.abc import Iterator
@@ -76,7 +76,7 @@
 
 
 class Tracer:
-    """Starts spans of one process."""
+    """Starts the spans of one process."""
 
     def __init__(self, tracer: otel_trace.Tracer | None) -> None:
         self._tracer = tracer
@@ -89,21 +89,21 @@
     ) -> Span:
         """Start a span; `parent` is a traceparent header value.
 
-        A malformed parent is ignored, as the trace context standard asks.
+        A malformed parent is ignored, as the trace context standard requires.
         """
-        valid = _keep_valid(parent)
+        valid_parent = _validate_parent(parent)
         if self._tracer is None:
-            return Span(valid, None)
+            return Span(valid_parent, None)
         context = otel_context.Context()
-        if valid is not None:
-            context = propagate.extract({TRACEPARENT: valid}, context)
+        if valid_parent is not None:
+            context = propagate.extract({TRACEPARENT: valid_parent}, context)
         span = self._tracer.start_span(
             name, context, attributes=dict(attributes or {})
         )
-        return Span(valid, span)
+        return Span(valid_parent, span)
 
 
-def _keep_valid(parent: str | None) -> str | None:
+def _validate_parent(parent: str | None) -> str | None:
     if parent is None or not _TRACEPARENT_FORMAT.fullmatch(parent):
         return None
     return parent
@@ -120,9 +120,9 @@
 ) -> Iterator[Tracer]:
     """Yield a tracer that appends spans to a file.
 
-    Without a path the tracer records nothing. `ratio` is the share of
-    new traces that is recorded; a trace that the caller already records
-    is always followed.
+    Without a path the tracer records nothing. `ratio` is the sampling
+    ratio of new traces; a trace that the caller already records is always
+    continued.
     """
     if path is None:
         yield Tracer(None)
--- a/fulmarseam/transport/__init__.py
+++ b/fulmarseam/transport/__init__.py
@@ -1,7 +1,7 @@
 """Calls between processes of the system, over nng request/reply.
 
-The request protocol sends a call again when its connection is lost, so a
-handler may see the same call twice and must be idempotent::
+The nng request protocol resends a call when its connection is lost, so a
+handler may receive the same call twice and must be idempotent::
 
     async with transport.RpcServer('127.0.0.1:7001', handle):
         async with transport.RpcClient('127.0.0.1:7001') as client:
--- a/fulmarseam/transport/_rpc.py
+++ b/fulmarseam/transport/_rpc.py
@@ -19,11 +19,12 @@
 
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 MAX_PENDING_CALLS = 4_096
-# The length and the request id that nng sends before each message.
+# Length and request ID that nng sends before each message.
 FRAME_BYTES = 12
 RECONNECT_MIN_MS = 20
 RECONNECT_MAX_MS = 200
-# Calls are repeated by their owner, which knows whether that is safe.
+# Calls are retried by the code that makes them, which knows whether that is
+# safe.
 RESEND_NEVER_MS = -1
 
 _log = logbook.Logger('transport')
@@ -31,7 +32,7 @@
 
 @contextlib.contextmanager
 def _open_context(nng_socket: Any) -> Iterator[Any]:
-    """Provide a context; its socket may be closed before it."""
+    """Yield a context of a socket that may close before the context."""
     context = nng_socket.new_context()
     try:
         yield context
@@ -43,8 +44,8 @@
 class RpcServer:
     """Serves calls on one address until the context ends.
 
-    `handler` gets each decoded message and returns the answer. A
-    `FulmarseamError` from it is answered as `wire.Failure`.
+    `handler` receives each decoded message and returns the response. A
+    `FulmarseamError` that it raises is sent as `wire.Failure`.
     """
 
     def __init__(self, address: str, handler: Handler) -> None:
@@ -53,7 +54,7 @@
         self._socket: Any = None
         self._accept_task: asyncio.Task[None] | None = None
         self._calls: set[asyncio.Task[None]] = set()
-        self._slots = asyncio.Semaphore(MAX_PENDING_CALLS)
+        self._pending_slots = asyncio.Semaphore(MAX_PENDING_CALLS)
 
     async def __aenter__(self) -> Self:
         """Listen on the address.
@@ -82,14 +83,14 @@
 
     async def _accept_calls(self) -> None:
         while True:
-            await self._slots.acquire()
+            await self._pending_slots.acquire()
             context = self._socket.new_context()
             try:
                 data = await context.arecv()
                 raise_if_cancelled()
             except pynng.NNGException as error:
                 context.close()
-                self._slots.release()
+                self._pending_slots.release()
                 if isinstance(error, pynng.Closed):
                     return
                 _log.debug('event=receive_failed error={!r}', str(error))
@@ -109,7 +110,7 @@
             _log.debug('event=reply_failed error={!r}', str(error))
         finally:
             context.close()
-            self._slots.release()
+            self._pending_slots.release()
 
     async def _answer(self, data: bytes) -> wire.Message:
         try:
@@ -126,11 +127,11 @@
 
 
 class RpcClient:
-    """Calls one address; reconnects by itself.
+    """Calls one address and reconnects automatically.
 
-    Usable from one event loop. The connection is made in the background,
-    so entering the context does not wait for the other process.
-    `bytes_sent` and `bytes_received` count messages with their frames.
+    Use a client from one event loop only. The connection is made in the
+    background, so entering the context does not wait for the other process.
+    `bytes_sent` and `bytes_received` include the framing of messages.
     """
 
     def __init__(self, address: str) -> None:
@@ -138,7 +139,7 @@
         self.bytes_sent = 0
         self.bytes_received = 0
         self._socket: Any = None
-        self._answered_at = 0.0
+        self._last_response_at = 0.0
 
     async def __aenter__(self) -> Self:
         self.open()
@@ -148,7 +149,7 @@
         self.close()
 
     def open(self) -> None:
-        """Start to connect."""
+        """Start connecting in the background."""
         self._socket = pynng.Req0(
             recv_max_size=MAX_MESSAGE_BYTES,
             reconnect_time_min=RECONNECT_MIN_MS,
@@ -166,25 +167,27 @@
     async def call(
         self, message: wire.Message, timeout_s: float
     ) -> wire.Message:
-        """Send a message and return the answer.
+        """Send a message and return the response.
 
-        Raises `errors.TransportError` when there is no answer in time; the
-        other process may have handled the call all the same. A connection
-        on which nothing was answered meanwhile is replaced, since one that
-        a fault silenced is never reset.
+        Raises `errors.TransportError` when the call fails or times out; the
+        other process may have handled the call nevertheless. The connection
+        is replaced if no response arrived since the call started, as a
+        connection that a network fault silenced is never reset.
         """
         if self._socket is None:
-            raise errors.TransportError(f'{self.address}: closed')
-        used = self._socket
+            raise errors.TransportError(
+                f'{self.address}: the client is closed'
+            )
+        socket = self._socket
         started = asyncio.get_running_loop().time()
         try:
             data = await self._exchange(message, timeout_s)
         except errors.TransportError:
-            if self._socket is used and self._answered_at <= started:
+            if self._socket is socket and self._last_response_at <= started:
                 self.close()
                 self.open()
             raise
-        self._answered_at = asyncio.get_running_loop().time()
+        self._last_response_at = asyncio.get_running_loop().time()
         self.bytes_received += len(data) + FRAME_BYTES
         return wire.decode(data)
 
@@ -212,7 +215,7 @@
 
 
 class RpcClients:
-    """Clients by address; a context manager.
+    """RPC clients by address; a context manager.
 
     A client is opened at its first call and closed when `close_all_except`
     leaves its address out.
@@ -235,9 +238,9 @@
     async def call(
         self, address: str, message: wire.Message, timeout_s: float
     ) -> wire.Message:
-        """Send a message to an address and return the answer.
+        """Send a message to an address and return the response.
 
-        Raises `errors.TransportError` when there is no answer in time.
+        Raises `errors.TransportError` when the call fails or times out.
         """
         client = self._clients.get(address)
         if client is None:
@@ -249,9 +252,9 @@
 def raise_if_cancelled() -> None:
     """Raise `asyncio.CancelledError` if the task has been cancelled.
 
-    pynng drops a cancellation, also that of a time-out, which arrives
-    after nng has completed the operation and before the task has run.
-    Without this check the task would go on for ever.
+    pynng loses a cancellation (of a time-out, too) that arrives after nng
+    completed the operation and before the task resumed. Without this check
+    the task would continue for ever.
     """
     task = asyncio.current_task()
     if task is not None and task.cancelling():
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -12,7 +12,7 @@
 
 
 class ClientCase(unittest.IsolatedAsyncioTestCase):
-    """Runs requests on a target that is scripted byte by byte."""
+    """Sends requests to a fake target with scripted responses."""
 
     async def asyncSetUp(self) -> None:
         self.signal = http.Signal()
@@ -25,10 +25,12 @@
         self.addAsyncCleanup(target.__aexit__)
         return target, http.TargetPool(target.address, limit)
 
-    async def take(self, pool: http.TargetPool) -> http.TargetConnection:
+    async def get_connection(
+        self, pool: http.TargetPool
+    ) -> http.TargetConnection:
         return pool.take_idle(self.signal) or await pool.open(self.signal)
 
-    async def read(self, connection: http.TargetConnection) -> bytes:
+    async def read_response(self, connection: http.TargetConnection) -> bytes:
         """Return status and body of the response."""
         async with asyncio.timeout(TIMEOUT_S):
             while (response := connection.poll_response()) is None:
@@ -47,36 +49,40 @@
         path: bytes = b'/',
         method: bytes = b'GET',
     ) -> bytes:
-        connection = await self.take(pool)
+        connection = await self.get_connection(pool)
         try:
             connection.send_head(method, path, HEADERS)
             connection.end_request()
-            return await self.read(connection)
+            return await self.read_response(connection)
         finally:
             pool.release(connection)
 
 
 def answer_once(answer: bytes, close: bool = False) -> fakes.Behaviour:
-    """Return a behaviour that answers the first request, then waits."""
+    """Return a behaviour that answers only the first request."""
 
     async def serve(
         target: fakes.FakeTarget,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        kept = bytearray()
-        target.received.append(kept)
-        await fakes.read_request(target, reader, kept)
+        received = bytearray()
+        target.received.append(received)
+        await fakes.read_request(target, reader, received)
         writer.write(answer)
         await writer.drain()
         if not close:
-            kept += await reader.read()
+            received += await reader.read()
 
     return serve
 
 
 class ReuseTest(ClientCase):
-    """Guards against answers that reach another request (P3)."""
+    """Guards against a response that is delivered to another request (P3).
+
+    This happens when a connection is reused although a response on it is
+    still to come or has surplus bytes.
+    """
 
     async def test_connection_is_reused_after_a_complete_response(
         self,
@@ -120,7 +126,7 @@
                 self.assertEqual((0, 0), (pool.in_use, pool.idle))
 
     async def test_late_answer_never_reaches_another_request(self) -> None:
-        """The first request is given up; its answer comes afterwards."""
+        """The first request times out before its response arrives."""
         late = asyncio.Event()
 
         async def serve(
@@ -128,10 +134,10 @@
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            kept = bytearray()
-            target.received.append(kept)
+            received = bytearray()
+            target.received.append(received)
             while True:
-                request = await fakes.read_request(target, reader, kept)
+                request = await fakes.read_request(target, reader, received)
                 path = request.split()[1]
                 if path == b'/slow':
                     await late.wait()
@@ -151,14 +157,14 @@
         self,
     ) -> None:
         _, pool = await self.start_target(fakes.answer_always(OK))
-        connection = await self.take(pool)
+        connection = await self.get_connection(pool)
         connection.send_head(b'GET', b'/', HEADERS)
         connection.end_request()
         while connection.poll_response() is None:
             await self.signal.wait()
         pool.release(connection)
         self.assertEqual(0, pool.idle)
-        connection = await self.take(pool)
+        connection = await self.get_connection(pool)
         length = [*HEADERS, (b'content-length', b'3')]
         connection.send_head(b'POST', b'/', length)
         connection.flush()
@@ -166,7 +172,7 @@
         self.assertEqual((0, 0), (pool.in_use, pool.idle))
 
     async def test_early_answer_ends_a_connection(self) -> None:
-        """The target answers before it has the whole request body."""
+        """The target responds before it has the whole request body."""
 
         async def serve(
             target: fakes.FakeTarget,
@@ -178,11 +184,11 @@
             await reader.read()
 
         _, pool = await self.start_target(serve)
-        connection = await self.take(pool)
+        connection = await self.get_connection(pool)
         length = [*HEADERS, (b'content-length', b'3')]
         connection.send_head(b'POST', b'/', length)
         connection.flush()
-        self.assertEqual(b'200 ok', await self.read(connection))
+        self.assertEqual(b'200 ok', await self.read_response(connection))
         pool.release(connection)
         self.assertEqual(0, pool.idle)
 
@@ -200,9 +206,9 @@
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            kept = bytearray()
-            target.received.append(kept)
-            await fakes.read_request(target, reader, kept)
+            received = bytearray()
+            target.received.append(received)
+            await fakes.read_request(target, reader, received)
             writer.write(OK)
             await asyncio.sleep(0.05)
             writer.write(OK.replace(b'ok', b'no'))
@@ -217,7 +223,7 @@
 
 
 class ProgressTest(ClientCase):
-    """Guards against "not run" for a request that may have run (P4)."""
+    """Guards against reporting a request as not run that may have run (P4)."""
 
     async def run_failing(
         self, answer: bytes, close: bool = True
@@ -287,7 +293,7 @@
 
     async def test_connection_lost_before_the_first_byte(self) -> None:
         target, pool = await self.start_target(fakes.answer_always(OK))
-        connection = await self.take(pool)
+        connection = await self.get_connection(pool)
         connection.transport.abort()
         await asyncio.sleep(0.05)
         connection.send_head(b'GET', b'/', HEADERS)
@@ -298,8 +304,8 @@
 
     async def test_connections_stay_within_the_limit(self) -> None:
         target, pool = await self.start_target(fakes.answer_always(OK), 2)
-        first = await self.take(pool)
-        second = await self.take(pool)
+        first = await self.get_connection(pool)
+        second = await self.get_connection(pool)
         with self.assertRaises(http.TargetError) as caught:
             await pool.open(self.signal)
         self.assertIs(http.Reason.NO_CONNECTION_LEFT, caught.exception.reason)
@@ -308,7 +314,7 @@
             connection.send_head(b'GET', b'/', HEADERS)
             connection.end_request()
             self.signal.notify()
-            self.assertEqual(b'200 ok', await self.read(connection))
+            self.assertEqual(b'200 ok', await self.read_response(connection))
             pool.release(connection)
         self.assertEqual(2, pool.idle)
         pool.set_limit(1)
@@ -316,11 +322,14 @@
 
     async def test_lowered_limit_closes_connections_in_use(self) -> None:
         _, pool = await self.start_target(fakes.answer_always(OK), 2)
-        connections = [await self.take(pool), await self.take(pool)]
+        connections = [
+            await self.get_connection(pool),
+            await self.get_connection(pool),
+        ]
         pool.set_limit(1)
         for connection in connections:
             connection.send_head(b'GET', b'/', HEADERS)
             connection.end_request()
-            self.assertEqual(b'200 ok', await self.read(connection))
+            self.assertEqual(b'200 ok', await self.read_response(connection))
             pool.release(connection)
         self.assertEqual((0, 1), (pool.in_use, pool.idle))
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -15,8 +15,8 @@
 LAST_GET = b'GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n'
 
 
-def answer_error(error: errors.FulmarseamError) -> http.LocalResponse:
-    """Return a plain answer for an error."""
+def make_error_response(error: errors.FulmarseamError) -> http.LocalResponse:
+    """Return a response with the kind of an error as a header."""
     return http.LocalResponse(
         error.answer.status, [(b'x-kind', error.kind.value.encode())], b''
     )
@@ -36,7 +36,7 @@
 
 
 class ServerCase(unittest.IsolatedAsyncioTestCase):
-    """Runs a server whose handler answers with what it was sent."""
+    """Runs a server that by default echoes the path and the body."""
 
     limits = http.Limits(header_timeout_s=5.0, idle_timeout_s=5.0)
 
@@ -47,7 +47,7 @@
         ] = self.echo
         self.address = fakes.find_free_address()
         self.server = http.Server(
-            self.address, self.handle, answer_error, self.limits
+            self.address, self.handle, make_error_response, self.limits
         )
         await self.server.__aenter__()
         self.addAsyncCleanup(self.server.__aexit__)
@@ -73,7 +73,7 @@
         return reader, writer
 
     async def exchange(self, data: bytes) -> bytes:
-        """Send bytes and return all that comes back until the close."""
+        """Send bytes and return all bytes received until the close."""
         reader, writer = await self.connect()
         writer.write(data)
         async with asyncio.timeout(TIMEOUT_S):
@@ -81,13 +81,13 @@
 
 
 def make_post(headers: bytes, body: bytes) -> bytes:
-    """Return a request followed by one that would be smuggled."""
+    """Return a request, followed by one that must not be smuggled in."""
     head = b'POST / HTTP/1.1\r\nHost: a\r\n' + headers + b'\r\n\r\n'
     return head + body + LAST_GET
 
 
 class AmbiguousFramingTest(ServerCase):
-    """Guards against request smuggling by messages with two readings."""
+    """Guards against request smuggling with ambiguous message framing."""
 
     async def test_ambiguous_heads_are_refused(self) -> None:
         heads = {
@@ -173,7 +173,7 @@
 
 
 class BodyTest(ServerCase):
-    """Guards against bodies and pipelined requests that get mixed up."""
+    """Guards against confusing body bytes with pipelined requests."""
 
     async def test_pipelined_requests_are_answered_in_order(self) -> None:
         chunked = (
@@ -262,7 +262,7 @@
 
 
 class LimitTest(ServerCase):
-    """Guards against callers that take memory or connections for ever."""
+    """Guards against callers that hold memory or connections without limit."""
 
     limits = http.Limits(
         max_header_bytes=2_048,
@@ -321,7 +321,7 @@
 
 
 class FlowTest(ServerCase):
-    """Guards against memory that grows with a slow or absent peer."""
+    """Guards against unbounded buffers when a peer is slow or gone."""
 
     async def test_slow_reader_stops_the_handler(self) -> None:
         sizes: list[int] = []
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -15,7 +15,7 @@
 
 
 class LogTest(unittest.TestCase):
-    """Guards against log lines that a parser splits at the wrong place."""
+    """Guards against values that break the key=value format of log lines."""
 
     def test_values_are_quoted_where_needed(self) -> None:
         line = telemetry.format_event('x', plain='a-1', odd='a "b"\nc=d')
@@ -34,7 +34,7 @@
 
 
 class TraceTest(unittest.TestCase):
-    """Guards against a trace that breaks between two hops."""
+    """Guards against spans of two hops that belong to different traces."""
 
     def test_spans_form_one_trace(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -62,7 +62,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    """Guards against figures that are lost or mislabelled."""
+    """Guards against metrics that are lost or have wrong labels."""
 
     def test_page_shows_counters_gauges_and_percentiles(self) -> None:
         metrics = telemetry.Metrics()
@@ -81,7 +81,7 @@
 
 
 class BoundedStreamTest(unittest.TestCase):
-    """Guards against a process that waits for a reader of its log."""
+    """Guards against a process that blocks when nothing reads its log."""
 
     def test_a_full_pipe_holds_up_nothing_and_loses_the_oldest(self) -> None:
         reader, writer = os.pipe()
@@ -89,7 +89,7 @@
         for number in range(20_000):
             stream.write(f'event=line number={number:06d} {"x" * 100}\n')
             stream.flush()
-        self.assertGreater(stream.dropped, 0)
+        self.assertGreater(stream.dropped_lines, 0)
         text = b''
         os.set_blocking(reader, False)
         for _ in range(1_000):
@@ -114,7 +114,7 @@
 
 
 class RequestLogTest(unittest.TestCase):
-    """Guards against a flood of lines that hides the failed requests."""
+    """Guards against failed requests that are omitted during a flood."""
 
     def test_failed_requests_have_a_bound_of_their_own(self) -> None:
         handler = logbook.TestHandler()
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -16,7 +16,7 @@
 
 
 class RpcTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against lost, mixed up or malformed calls."""
+    """Guards against calls that are lost, hang or get another response."""
 
     async def test_answers_reach_their_own_calls(self) -> None:
         async def handle(message: wire.Message) -> wire.Message:
@@ -41,7 +41,7 @@
                 await client.call(wire.Ok(), 0.1)
 
     async def test_cancellation_after_completion_is_kept(self) -> None:
-        """pynng drops a cancellation that arrives at this moment."""
+        """pynng loses a cancellation after a completed operation."""
 
         class Context:
             async def asend(self, data: bytes) -> None:
@@ -78,7 +78,7 @@
         self.assertEqual(wire.Ok(), good)
 
     async def test_server_ends_while_calls_arrive(self) -> None:
-        """A cancellation that meets a complete receive is not lost."""
+        """The server task must stop even if a receive has just completed."""
 
         async def handle(message: wire.Message) -> wire.Message:
             return wire.Ok()
