--- a/fulmarseam/http/_addressing.py
+++ b/fulmarseam/http/_addressing.py
@@ -21,7 +21,7 @@
         match = _ABSOLUTE_FORM.fullmatch(target)
         if match is None:
             raise _framing.make_malformed_error(
-                f'request target {target!r} is no path and no HTTP URL'
+                f'expected a path or an HTTP URL, found {target!r}'
             )
         host = match[1]
         target = match[2] or b'/'
--- a/fulmarseam/http/_pool.py
+++ b/fulmarseam/http/_pool.py
@@ -103,7 +103,7 @@
         if self.in_use + len(self._idle) >= self.limit:
             raise self._make_error(
                 _failures.Reason.NO_CONNECTION_LEFT,
-                f'limit of {self.limit} connections reached',
+                f'{self.limit} connections in use, the limit',
             )
         self.in_use += 1
         try:
