--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays soaks by hand: `python -m tests.soak --seeds 1-50 --jobs 3`."""
+"""Runs soaks by hand: `python -m tests.soak --seeds 1-50 --jobs 3`."""
 
 import concurrent.futures
 import multiprocessing
@@ -11,7 +11,7 @@
 from tests.soak import _soak
 
 SEEDS = flags.DEFINE_string(
-    'seeds', '', 'first and last seed, like 1-50; nothing means a fresh one'
+    'seeds', '', 'first and last seed, like 1-50; a new one if empty'
 )
 JOBS = flags.DEFINE_integer('jobs', 3, 'soaks side by side', lower_bound=1)
 SECONDS = flags.DEFINE_float(
@@ -24,26 +24,26 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Play all seeds; return 1 when any broke a promise."""
+    """Run all seeds; return 1 if any violated a guarantee."""
     del arguments
     failed = 0
-    # Each soak draws its ports in a process of its own.
+    # Each soak picks its ports in a separate process.
     with concurrent.futures.ProcessPoolExecutor(
         JOBS.value,
         multiprocessing.get_context('spawn'),
         max_tasks_per_child=1,
     ) as pool:
-        works = {
-            seed: pool.submit(_soak.play_seed, seed, SECONDS.value, LOGS.value)
+        futures = {
+            seed: pool.submit(_soak.run_seed, seed, SECONDS.value, LOGS.value)
             for seed in list_seeds()
         }
-        for seed, work in works.items():
-            findings = work.result()
+        for seed, future in futures.items():
+            findings = future.result()
             failed += bool(findings)
             print(f'seed {seed}: {len(findings)} findings', flush=True)
             for line in findings[:FINDINGS_SHOWN]:
                 print(f'  {line}', flush=True)
-    print(f'{len(works) - failed} passed, {failed} failed')
+    print(f'{len(futures) - failed} passed, {failed} failed')
     return 1 if failed else 0
 
 
--- a/tests/soak/_callers.py
+++ b/tests/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak, which check every answer themselves."""
+"""Callers of the soak, which check every response."""
 
 import asyncio
 import contextlib
@@ -16,19 +16,20 @@
 READ_PATH = '/read/'
 WRITE_PATH = '/write/'
 MOVE_PATH = '/move/'
-# Time that callers state, in seconds, as on the users' shortest routes.
+# Deadline that callers send, as on the users' shortest routes.
 DEADLINE_S = 1.5
-# What a caller waits beyond its deadline for an answer on its way.
-LATE_S = 0.5
-PAUSE_S = (0.03, 0.15)
-# Each target remembers a few objects, and most connections are kept.
+# Time after the deadline in which a caller still accepts a response.
+RESPONSE_SLACK_S = 0.5
+REQUEST_GAP_S = (0.03, 0.15)
+# Few affinity keys, so that requests repeat them; most connections are
+# reused.
 OBJECTS = 20
 REUSE_SHARE = 0.8
 STATUS_NOT_RUN = (408, 421, 429, 503)
 
 
 class Caller:
-    """Sends one request after the other, also on kept connections."""
+    """Sends one request after the other, partly on reused connections."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         self._system = system
         self._record = record
         self._addresses: list[str] = []
-        self._known_until = 0.0
+        self._lookup_expires_at = 0.0
         self._entry = ''
         self._connection: _calls.Connection | None = None
         self.is_stopping = False
@@ -48,8 +49,8 @@
     async def run(self) -> None:
         """Send requests until `is_stopping` is set."""
         while not self.is_stopping:
-            await asyncio.sleep(random.uniform(*PAUSE_S))
-            if time.monotonic() >= self._known_until:
+            await asyncio.sleep(random.uniform(*REQUEST_GAP_S))
+            if time.monotonic() >= self._lookup_expires_at:
                 await self._look_up()
             if self._addresses:
                 await self._send()
@@ -64,11 +65,13 @@
                 answer = json.loads(reply.body)
                 self._addresses = answer['addresses']
                 lifetime_ms = float(answer['ttl'].removesuffix('ms'))
-                self._known_until = time.monotonic() + lifetime_ms / 1_000
+                self._lookup_expires_at = (
+                    time.monotonic() + lifetime_ms / 1_000
+                )
                 return
 
     async def _connect(self) -> _calls.Connection | None:
-        """Return the kept connection or a new one, if one opens."""
+        """Return the reused connection or a new one; None on failure."""
         kept = self._connection
         self._connection = None
         if kept is not None and kept.is_open:
@@ -81,7 +84,7 @@
         try:
             await connection.open(1.0)
         except OSError:
-            # Callers turn to the other addresses until the next look-up.
+            # Callers use only the other addresses until the next lookup.
             self._addresses.remove(self._entry)
             return None
         return connection
@@ -98,7 +101,7 @@
         reply: _calls.Reply | None = None
         was_cut = True
         try:
-            async with asyncio.timeout(DEADLINE_S + LATE_S):
+            async with asyncio.timeout(DEADLINE_S + RESPONSE_SLACK_S):
                 reply = await connection.exchange(
                     'POST' if body else 'GET',
                     f'{path}{request}',
@@ -138,18 +141,25 @@
                 await asyncio.sleep(min(pause_s, DEADLINE_S / 3))
 
     def _check(self, request: str, body: bytes, reply: _calls.Reply) -> str:
-        """Check that an answer is whole and to this request."""
+        """Check that a response is complete and belongs to this request.
+
+        Returns the target that sent it.
+        """
         stamp = reply.headers.get('x-server-stamp', '')
         if reply.status >= 300:
             if stamp:
-                self._record.find(
+                self._record.add_finding(
                     f'{request}: found status {reply.status} with the stamp '
                     f'{stamp} of a target'
                 )
             return ''
         target, _, rest = stamp.partition('|')
         if rest.partition('|')[2] != request:
-            self._record.find(f'{request}: found an answer stamped {stamp!r}')
+            self._record.add_finding(
+                f'{request}: found an answer stamped {stamp!r}'
+            )
         if reply.body != _targets.sign(request, body):
-            self._record.find(f'{request}: found another body')
+            self._record.add_finding(
+                f'{request}: found a body of another request'
+            )
         return target
--- a/tests/soak/_calls.py
+++ b/tests/soak/_calls.py
@@ -7,12 +7,12 @@
 
 from tests import gateway_case
 
-# An answer's head has a few hundred bytes.
+# Limit of the read buffer; the head of a response has a few hundred bytes.
 MAX_HEAD_BYTES = 65_536
 
 
 class Reply(NamedTuple):
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -29,7 +29,7 @@
         self.is_open = False
 
     async def open(self, timeout_s: float) -> None:
-        """Connect; raises `OSError`, which includes a time-out."""
+        """Connect; raises `OSError`, which includes a timeout."""
         host, _, port = self._address.rpartition(':')
         async with asyncio.timeout(timeout_s):
             self._reader, self._writer = await asyncio.open_connection(
@@ -44,9 +44,9 @@
         headers: Mapping[str, str],
         body: bytes = b'',
     ) -> Reply | None:
-        """Send a request and return the answer.
+        """Send a request and return the response.
 
-        None when the connection ended first. Raises `OSError`.
+        Returns None if the connection ends first. Raises `OSError`.
         """
         assert self._reader is not None
         assert self._writer is not None
@@ -84,9 +84,9 @@
     body: bytes = b'',
     timeout_s: float = 1.0,
 ) -> Reply | None:
-    """Send one request on a connection of its own.
+    """Send one request on a new connection.
 
-    None when there is no whole answer in time.
+    Returns None without a complete response before the timeout.
     """
     connection = Connection(address)
     try:
--- a/tests/soak/_checks.py
+++ b/tests/soak/_checks.py
@@ -1,4 +1,4 @@
-"""The promises that a soak checks on what it recorded."""
+"""The guarantees that a soak checks against its record."""
 
 import collections
 import math
@@ -10,22 +10,22 @@
 from tests.soak import _system
 
 # Bounds that the users state for their deployments, in seconds.
-CONTACT_S = 3.0
+UNDISTURBED_S = 3.0
 DRAIN_S = 2.5
 CONFIG_APPLY_S = 2.5
 REGRESS_SLACK_S = 0.25
 EVACUATE_S = 5.0
 RECOVERY_S = 15.0
-# After the recovery the whole system is sound, so nearly all is served.
+# Lowest share of requests served once all faults have recovered.
 SERVED_SHARE = 0.9
-# A SIGTERM covers the requests of the process until 1 s after its grace.
-STOP_S = _system.GRACE_S + 1.0
+# After SIGTERM a process has its grace period and 1 s to finish requests.
+STOP_TIMEOUT_S = _system.GRACE_S + 1.0
 
 Runs = dict[str, list[_record.Run]]
 
 
-class Touch:
-    """Which processes a fault has left alone for long enough."""
+class FaultTimeline:
+    """The faults of a soak, by the process or target that they hit."""
 
     def __init__(self, record: _record.Record) -> None:
         self._spans: dict[str, list[_record.Disturbance]] = (
@@ -35,17 +35,17 @@
             name = 'core' if span.subject.startswith('core') else span.subject
             self._spans[name].append(span)
 
-    def is_calm(self, name: str, start: float, end: float) -> bool:
-        """Return whether no fault touched a subject in a time."""
+    def had_no_fault(self, name: str, start: float, end: float) -> bool:
+        """Return whether no fault hit a subject in an interval."""
         return not any(
             span.started_at <= end and span.ended_at >= start
             for span in self._spans[name]
         )
 
-    def is_in_touch(self, entry: str, moment: float) -> bool:
-        """Return whether an entry and the group were calm for a while."""
-        start = moment - CONTACT_S
-        return self.is_calm(entry, start, moment) and self.is_calm(
+    def was_undisturbed(self, entry: str, moment: float) -> bool:
+        """Return whether no fault hit an entry or the group recently."""
+        start = moment - UNDISTURBED_S
+        return self.had_no_fault(entry, start, moment) and self.had_no_fault(
             'core', start, moment
         )
 
@@ -60,29 +60,29 @@
 
 
 def check_record(record: _record.Record) -> list[str]:
-    """Return a line for each broken promise."""
+    """Return a line for each violated guarantee."""
     runs: Runs = collections.defaultdict(list)
     for run in record.runs:
         runs[run.request].append(run)
-    touch = Touch(record)
+    timeline = FaultTimeline(record)
     return [
         *record.findings,
         *_check_denied(record),
         *_check_at_most_once(record, runs),
         *_check_attempts(record, runs),
-        *_check_leaves(record, runs, touch),
-        *_check_evacuations(record, runs, touch),
-        *_check_moves(record, runs, touch),
-        *_check_stops(record, runs, touch),
+        *_check_leaves(record, runs, timeline),
+        *_check_evacuations(record, runs, timeline),
+        *_check_moves(record, runs, timeline),
+        *_check_stops(record, runs, timeline),
         *_check_read_back(record),
         *_check_recovery(record),
     ]
 
 
 def _check_denied(record: _record.Record) -> list[str]:
-    """Check that no proper request is answered as a mistake of its caller.
+    """Check that no valid request gets a client error.
 
-    All routes stand from before the first request on.
+    All routes exist before the first request.
     """
     return [
         f'denied: {call}'
@@ -93,7 +93,7 @@
 
 
 def _check_at_most_once(record: _record.Record, runs: Runs) -> list[str]:
-    """Check that nothing ran twice and that a refusal is true."""
+    """Check that no write ran twice and no refused write ran."""
     found = []
     for call in record.calls:
         count = len(runs[call.request])
@@ -107,47 +107,47 @@
 
 
 def _check_attempts(record: _record.Record, runs: Runs) -> list[str]:
-    """Check the bound on targets for one request."""
+    """Check that a request runs on at most 2 targets."""
     known = {call.request for call in record.calls}
     unknown = [name for name in runs if name not in known and runs[name]]
     found = [f'{name} ran and no caller sent it' for name in unknown]
-    for name, list_of_runs in runs.items():
-        if len({run.target for run in list_of_runs}) > 2:
-            found.append(f'{name} ran on more than 2 targets: {list_of_runs}')
+    for name, request_runs in runs.items():
+        if len({run.target for run in request_runs}) > 2:
+            found.append(f'{name} ran on more than 2 targets: {request_runs}')
     return found
 
 
-def _list_runs_in_touch(
-    record: _record.Record, runs: Runs, touch: Touch
+def _list_undisturbed_runs(
+    record: _record.Record, runs: Runs, timeline: FaultTimeline
 ) -> list[_record.Run]:
-    """Return the runs that an entry in touch started."""
+    """Return the runs of entries that no recent fault had hit."""
     return [
         run
         for call in record.calls
         for run in runs[call.request]
-        if touch.is_in_touch(call.entry, run.started_at)
+        if timeline.was_undisturbed(call.entry, run.started_at)
     ]
 
 
 def _check_leaves(
-    record: _record.Record, runs: Runs, touch: Touch
+    record: _record.Record, runs: Runs, timeline: FaultTimeline
 ) -> list[str]:
-    """Check that a target that left gets nothing new."""
+    """Check that a target that left gets no new requests."""
     return [
         f'{run} came {run.started_at - record.left[run.target]:.2f} s after '
         'the leave'
-        for run in _list_runs_in_touch(record, runs, touch)
+        for run in _list_undisturbed_runs(record, runs, timeline)
         if run.started_at > record.left.get(run.target, math.inf) + DRAIN_S
     ]
 
 
 def _check_evacuations(
-    record: _record.Record, runs: Runs, touch: Touch
+    record: _record.Record, runs: Runs, timeline: FaultTimeline
 ) -> list[str]:
-    """Check that an evacuated failure domain gets nothing new."""
+    """Check that an evacuated failure domain gets no new requests."""
     return [
         f'{run} came during the evacuation'
-        for run in _list_runs_in_touch(record, runs, touch)
+        for run in _list_undisturbed_runs(record, runs, timeline)
         for domain, started, ended in record.evacuations
         if run.failure_domain == domain
         and started + EVACUATE_S < run.started_at < ended
@@ -155,25 +155,27 @@
 
 
 def _check_moves(
-    record: _record.Record, runs: Runs, touch: Touch
+    record: _record.Record, runs: Runs, timeline: FaultTimeline
 ) -> list[str]:
-    """Check that each version comes into force in time and for good."""
+    """Check that each version takes effect in time and is not reverted."""
     found = []
-    proven: dict[str, list[tuple[float, int]]] = collections.defaultdict(list)
+    versions_seen: dict[str, list[tuple[float, int]]] = (
+        collections.defaultdict(list)
+    )
     calls = sorted(record.calls, key=lambda call: call.sent_at)
     for call in calls:
         if call.route != _callers.MOVE_PATH:
             continue
         for run in runs[call.request][:1]:
-            late = _find_late(record, call, run, touch)
-            if late is not None:
-                found.append(late)
+            overdue = _find_overdue_version(record, call, run, timeline)
+            if overdue is not None:
+                found.append(overdue)
             starts = _count_starts(record, call)
             key = f'{call.entry} {starts}'
             lowest = max(
                 (
                     version
-                    for at, version in proven[key]
+                    for at, version in versions_seen[key]
                     if at + REGRESS_SLACK_S < call.sent_at
                 ),
                 default=0,
@@ -182,12 +184,12 @@
             if version is None or not _was_sent(record, version, run):
                 found.append(f'{run} at {key} is older than version {lowest}')
             else:
-                proven[key].append((run.started_at, version))
+                versions_seen[key].append((run.started_at, version))
     return found
 
 
 def _count_starts(record: _record.Record, call: _record.Call) -> int:
-    """Return how often an entry had been started when a request came."""
+    """Return how often an entry had been restarted when a request came."""
     return sum(
         span.subject == call.entry
         and span.kind != _plan.FaultKind.PAUSE.value
@@ -199,7 +201,7 @@
 def _find_version(
     record: _record.Record, pool: str, lowest: int
 ) -> int | None:
-    """Return the lowest version from `lowest` on that leads to a pool."""
+    """Return the lowest version, at least `lowest`, that uses a pool."""
     return min(
         (
             move.version
@@ -217,14 +219,14 @@
     )
 
 
-def _find_late(
+def _find_overdue_version(
     record: _record.Record,
     call: _record.Call,
     run: _record.Run,
-    touch: Touch,
+    timeline: FaultTimeline,
 ) -> str | None:
-    """Return a line when a request is handled by an overtaken version."""
-    if not touch.is_in_touch(call.entry, run.started_at):
+    """Return a finding if a request was routed by an outdated version."""
+    if not timeline.was_undisturbed(call.entry, run.started_at):
         return None
     due = max(
         (
@@ -241,29 +243,29 @@
 
 
 def _check_stops(
-    record: _record.Record, runs: Runs, touch: Touch
+    record: _record.Record, runs: Runs, timeline: FaultTimeline
 ) -> list[str]:
     """Check that a graceful stop cuts no request in flight."""
     found = []
-    for stop in touch.list_stops():
+    for stop in timeline.list_stops():
         for call in record.calls:
             if call.entry != stop.subject or not call.was_cut:
                 continue
             if not stop.started_at <= call.ended_at:
                 continue
-            if call.sent_at > stop.started_at + STOP_S:
+            if call.sent_at > stop.started_at + STOP_TIMEOUT_S:
                 continue
-            if runs[call.request] and _had_no_other_fault(record, call, stop):
+            if runs[call.request] and _was_only_fault(record, call, stop):
                 found.append(f'cut by a graceful stop: {call}')
     return found
 
 
-def _had_no_other_fault(
+def _was_only_fault(
     record: _record.Record,
     call: _record.Call,
     stop: _record.Disturbance,
 ) -> bool:
-    start = call.sent_at - CONTACT_S
+    start = call.sent_at - UNDISTURBED_S
     return not any(
         span is not stop
         and span.started_at <= call.ended_at
@@ -273,9 +275,9 @@
 
 
 def _check_read_back(record: _record.Record) -> list[str]:
-    """Check that what was acknowledged is still there at the end."""
+    """Check that the newest acknowledged version is in force at the end."""
     if record.read_back is None:
-        return ['no configuration came at the end']
+        return ['found no configuration at the end, expected one']
     newest = max(record.acknowledged, default=0)
     moves = [move for move in record.moves if move.version >= newest]
     allowed = [
--- a/tests/soak/_operator.py
+++ b/tests/soak/_operator.py
@@ -12,19 +12,19 @@
 from tests.soak import _system
 from tests.soak import _targets
 
-# Changes come one by one and in quick succession, in seconds.
+# Range of the time between two changes.
 MOVE_GAP_S = (0.3, 2.5)
 FIRST_VERSION = 7
-# An order is sent again to another member until it is acknowledged.
-ORDER_TIMEOUT_S = 30.0
+# A command is retried on other members until it is acknowledged.
+ACKNOWLEDGE_TIMEOUT_S = 30.0
 EVACUATED = 'z2'
-# Longer than the 5 s in which an evacuation comes into force.
+# Lasts longer than the 5 s in which an evacuation must take effect.
 EVACUATE_AT_S = 4.0
 EVACUATE_FOR_S = 8.0
 
 
 def make_route(name: str, path: str, pool: str, version: int) -> Any:
-    """Return a route in the platform's form."""
+    """Return a route as the platform's API expects it."""
     is_write = path == _callers.WRITE_PATH
     return {
         'name': name,
@@ -47,7 +47,7 @@
 
 
 class Operator:
-    """Sends orders to any member until they are acknowledged."""
+    """Sends commands to any member until they are acknowledged."""
 
     def __init__(self, system: _system.System, record: _record.Record) -> None:
         self._system = system
@@ -69,7 +69,7 @@
         routes = [
             make_route('read', _callers.READ_PATH, 'alpha', FIRST_VERSION),
             make_route('write', _callers.WRITE_PATH, 'beta', FIRST_VERSION),
-            self._move(FIRST_VERSION),
+            self._make_next_move(FIRST_VERSION),
         ]
         limits = {
             'maxHeaderBytes': 16_384,
@@ -83,61 +83,67 @@
             'limits': limits,
             'hosts': [{'host': _callers.HOST, 'paths': routes}],
         }
-        await self._order('PATCH', '/api/config', {'upsert': upsert})
+        await self._send_until_acknowledged(
+            'PATCH', '/api/config', {'upsert': upsert}
+        )
         self._record.acknowledged[FIRST_VERSION] = time.monotonic()
 
-    def _move(self, version: int) -> Any:
+    def _make_next_move(self, version: int) -> Any:
         pool = find_pool(version)
         self._record.moves.append(
             _record.Move(version, pool, time.monotonic())
         )
         return make_route('move', _callers.MOVE_PATH, pool, version)
 
-    async def move_often(self) -> None:
+    async def move_repeatedly(self) -> None:
         """Move the route to the next pool again and again."""
         version = FIRST_VERSION
         while True:
             await asyncio.sleep(random.uniform(*MOVE_GAP_S))
             version += random.randint(1, 2)
-            paths = [self._move(version)]
+            paths = [self._make_next_move(version)]
             upsert = {'hosts': [{'host': _callers.HOST, 'paths': paths}]}
-            if await self._order('PATCH', '/api/config', {'upsert': upsert}):
+            if await self._send_until_acknowledged(
+                'PATCH', '/api/config', {'upsert': upsert}
+            ):
                 self._record.acknowledged[version] = time.monotonic()
 
     async def evacuate(self) -> None:
-        """Evacuate a failure domain and take it back."""
+        """Evacuate a failure domain, then end the evacuation."""
         await asyncio.sleep(EVACUATE_AT_S)
         path = f'/api/evacuate/{EVACUATED}'
-        if not await self._order('POST', path):
+        if not await self._send_until_acknowledged('POST', path):
             return
         started = time.monotonic()
         await asyncio.sleep(EVACUATE_FOR_S)
         self._record.evacuations.append((EVACUATED, started, time.monotonic()))
-        await self._order('DELETE', path)
+        await self._send_until_acknowledged('DELETE', path)
 
-    async def _order(self, method: str, path: str, body: Any = None) -> bool:
-        """Send an order until it is acknowledged; return whether it was."""
+    async def _send_until_acknowledged(
+        self, method: str, path: str, body: Any = None
+    ) -> bool:
+        """Retry a command until it is acknowledged; return whether it was."""
         data = b'' if body is None else json.dumps(body).encode()
-        deadline = time.monotonic() + ORDER_TIMEOUT_S
+        deadline = time.monotonic() + ACKNOWLEDGE_TIMEOUT_S
         while time.monotonic() < deadline:
             api = random.choice(self._system.list_apis())
             reply = await _calls.call(api, method, path, data)
             if reply is not None and reply.status == 200:
                 return True
             if reply is not None and reply.status in (400, 409, 422):
-                self._record.find(
+                self._record.add_finding(
                     f'{method} {path} was refused: {reply.body!r}'
                 )
                 return False
             await asyncio.sleep(0.1)
-        self._record.find(
-            f'{method} {path}: no acknowledgement in {ORDER_TIMEOUT_S} s'
+        self._record.add_finding(
+            f'{method} {path}: no acknowledgement in {ACKNOWLEDGE_TIMEOUT_S} s'
         )
         return False
 
     async def read_back(self) -> None:
         """Record the routes in force, by name."""
-        deadline = time.monotonic() + ORDER_TIMEOUT_S
+        deadline = time.monotonic() + ACKNOWLEDGE_TIMEOUT_S
         while time.monotonic() < deadline:
             api = random.choice(self._system.list_apis())
             reply = await _calls.call(api, 'GET', '/api/config')
--- a/tests/soak/_plan.py
+++ b/tests/soak/_plan.py
@@ -10,17 +10,17 @@
 ENTRIES = 4
 TARGETS = 9
 TOLERATED_MEMBERS = 2
-# A member counts again this long after its return; see the design of the
-# repair of the group.
+# A returned member counts as available after this time; see the design of
+# the repair of the group.
 CATCH_UP_S = 4.0
 # Faults last 0.2 to 4 s, so about two of them overlap.
 MEAN_GAP_S = 0.8
-# The first look-ups and connections of callers are made by then.
+# By then callers have made their first lookups and connections.
 FIRST_AT_S = 1.0
 
 
 class FaultKind(enum.Enum):
-    """What happens to a subject."""
+    """What happens to a process, target or link."""
 
     PAUSE = 'pause'
     KILL = 'kill'
@@ -75,10 +75,10 @@
 
 
 def draw_plan(seed: int, length_s: float) -> list[Fault]:
-    """Return the faults of a seed, which come in series and overlap.
+    """Return the faults of a seed; they may overlap.
 
-    Of the members no more are lost at a time than the group bears, except
-    that all of them may be killed at the same moment and start again.
+    No more members are lost at a time than the group tolerates, except that
+    all of them may be killed and restarted together.
     """
     rng = random.Random(seed)
     faults: list[Fault] = []
@@ -88,7 +88,7 @@
         fault = _draw_fault(rng, at_s)
         at_s += rng.expovariate(1.0 / MEAN_GAP_S)
         if fault.subject.startswith('core'):
-            if not _bear(fault, lost_until):
+            if not _admit_fault(fault, lost_until):
                 continue
         faults.append(fault)
     return faults
@@ -110,15 +110,15 @@
     return Fault(at_s, rng.choice(_TARGET_KINDS), f'target-{number}', for_s)
 
 
-def _bear(fault: Fault, lost_until: dict[str, float]) -> bool:
-    """Return whether the group bears a fault now, and note it if so."""
+def _admit_fault(fault: Fault, lost_until: dict[str, float]) -> bool:
+    """Return whether the group tolerates a fault now; record it if so."""
     lost = {name for name, until in lost_until.items() if until > fault.at_s}
     if fault.kind is FaultKind.KILL_ALL:
         if lost:
             return False
         names = [f'core-{number}' for number in range(1, MEMBERS + 1)]
     else:
-        # One fault at a time for each member keeps their ends in order.
+        # One fault at a time for each member: each ends before the next.
         if fault.subject in lost or len(lost) >= TOLERATED_MEMBERS:
             return False
         names = [fault.subject]
--- a/tests/soak/_record.py
+++ b/tests/soak/_record.py
@@ -1,4 +1,4 @@
-"""What callers, targets and operators saw; times in seconds."""
+"""What callers, targets and operators observed; times in seconds."""
 
 import dataclasses
 import time
@@ -6,10 +6,10 @@
 
 
 class Call(NamedTuple):
-    """One request of a caller; `status` is 0 when no answer came.
+    """One request of a caller; `status` is 0 without a response.
 
-    `pool` and `target` are what the answer named. `was_cut` is set when the
-    connection ended before the answer, and not when the caller gave up.
+    `target` is the one that the response names. `was_cut` is set if the
+    connection ended before the response, not if the caller gave up.
     """
 
     request: str
@@ -24,7 +24,7 @@
 
 
 class Run(NamedTuple):
-    """A target began to work on a request."""
+    """The start of a request on a target."""
 
     request: str
     target: str
@@ -42,7 +42,7 @@
 
 
 class Disturbance(NamedTuple):
-    """A time in which a fault touched a process or a target."""
+    """An interval in which a fault hit a process or a target."""
 
     subject: str
     kind: str
@@ -66,10 +66,10 @@
     )
     disturbances: list[Disturbance] = dataclasses.field(default_factory=list)
     findings: list[str] = dataclasses.field(default_factory=list)
-    # Route and pool of the newest read-back, or None when none came.
+    # The routes in force at the end, by name; None if they were not read.
     read_back: dict[str, object] | None = None
     faults_ended_at: float = 0.0
 
-    def find(self, text: str) -> None:
-        """Record that a promise was broken."""
+    def add_finding(self, text: str) -> None:
+        """Record that a guarantee was violated."""
         self.findings.append(f'{time.monotonic():.3f} {text}')
--- a/tests/soak/_soak.py
+++ b/tests/soak/_soak.py
@@ -15,21 +15,21 @@
 from tests.soak import _targets
 
 CALLERS = 12
-# The last seconds, in which what has recovered is measured.
-MEASURED_S = 3.0
+# Time at the end in which requests are counted after the recovery.
+RECOVERY_SAMPLE_S = 3.0
 
 
-def play_seed(seed: int, faults_s: float, logs: str) -> list[str]:
-    """Play one seed in a process of its own."""
+def run_seed(seed: int, faults_s: float, logs: str) -> list[str]:
+    """Run one seed; called in a separate process."""
     directory = pathlib.Path(logs) / f'{seed}-{time.time_ns()}'
     directory.mkdir(parents=True)
-    return asyncio.run(_play_until_told(seed, faults_s, directory))
+    return asyncio.run(_run_until_signalled(seed, faults_s, directory))
 
 
-async def _play_until_told(
+async def _run_until_signalled(
     seed: int, faults_s: float, directory: pathlib.Path
 ) -> list[str]:
-    """Play a seed; SIGTERM ends it and all its processes."""
+    """Run a seed; SIGTERM ends it and all its processes."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -39,7 +39,7 @@
 async def run_soak(
     seed: int, faults_s: float, directory: pathlib.Path
 ) -> list[str]:
-    """Play the faults of a seed and return a line for each broken promise.
+    """Apply the faults of a seed; return a line per violated guarantee.
 
     The logs of the processes stay in `directory`.
     """
@@ -60,23 +60,23 @@
             _callers.Caller(number, system, record)
             for number in range(CALLERS)
         ]
-        asking = asyncio.gather(*(caller.run() for caller in callers))
+        calling = asyncio.gather(*(caller.run() for caller in callers))
         background = [
             asyncio.create_task(work)
             for work in (
-                operator.move_often(),
+                operator.move_repeatedly(),
                 operator.evacuate(),
                 system.watch(),
             )
         ]
         try:
-            await _play(_plan.draw_plan(seed, faults_s), system, hosts)
+            await _apply_faults(_plan.draw_plan(seed, faults_s), system, hosts)
             record.faults_ended_at = time.monotonic()
-            await asyncio.sleep(_checks.RECOVERY_S + MEASURED_S)
+            await asyncio.sleep(_checks.RECOVERY_S + RECOVERY_SAMPLE_S)
         finally:
             for caller in callers:
                 caller.is_stopping = True
-            await asking
+            await calling
             for task in background:
                 task.cancel()
             results = await asyncio.gather(*background, return_exceptions=True)
@@ -89,12 +89,12 @@
     return _checks.check_record(record)
 
 
-async def _play(
+async def _apply_faults(
     plan: list[_plan.Fault],
     system: _system.System,
     hosts: list[_targets.TargetHost],
 ) -> None:
-    """Carry out all faults at their times; return when all have ended."""
+    """Apply all faults at their times; return when all have ended."""
     by_name = {host.name: host for host in hosts}
     start = time.monotonic()
     async with asyncio.TaskGroup() as group:
--- a/tests/soak/_system.py
+++ b/tests/soak/_system.py
@@ -1,4 +1,4 @@
-"""The processes of one soak and the proxies before them."""
+"""The processes of one soak and the proxies in front of them."""
 
 import asyncio
 import contextlib
@@ -24,33 +24,33 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 DOMAINS = {'z1': 'north', 'z2': 'north', 'z3': 'south'}
-# Bounds of the deployment that the soak plays.
+# Settings of the deployment that the soak models.
 GRACE_S = 6.0
 HEARTBEAT_S = 1.0
-# The users' platform starts a process again after a short delay.
+# The users' platform restarts a process after a short delay.
 RESTART_DELAY_S = 0.2
-# The log of a member; a torn write leaves a part of a frame at its end.
+# The log of a member; a torn write leaves part of a frame at its end.
 LOG_NAME = 'log'
 TORN_BYTES = 11
-# Place of the flags among the fields of /proc/PID/stat from the state on, and
-# the kernel's flag of a process that has called exit.
+# Index of the flags in /proc/PID/stat, counted from the state field, and the
+# kernel's flag of a process that has called exit.
 STAT_FLAGS = 6
 PF_EXITING = 0x4
-# The start of an interpreter beside other soaks.
+# Includes the start of the interpreters while other soaks run.
 START_S = 8.0
 
 
 def find_domain(number: int) -> str:
-    """Return the failure domain of the process or target of a number."""
+    """Return the failure domain of a process or target by its number."""
     return list(DOMAINS)[number % len(DOMAINS)]
 
 
-def _write_s(value: float) -> str:
+def _format_seconds(value: float) -> str:
     return f'{value}s'
 
 
 def _read_stat(directory: pathlib.Path) -> list[str]:
-    """Return the fields of a stat file from the state on.
+    """Return the fields of a stat file, starting with the state.
 
     Raises `OSError` when the process or thread is gone.
     """
@@ -68,7 +68,7 @@
 
 
 class Process:
-    """One program of the system, started again when it ends."""
+    """One program of the system, which can be restarted."""
 
     def __init__(
         self, name: str, role: str, directory: pathlib.Path, options: Any
@@ -84,7 +84,7 @@
         self.control = asyncio.Lock()
 
     async def start(self) -> None:
-        """Start the program with its present settings."""
+        """Start the program with its current settings."""
         self._path.write_text(yaml.safe_dump(self.options), encoding='utf-8')
         with self._log.open('ab') as log:
             self._log_start = log.tell()
@@ -98,38 +98,38 @@
                 stdout=log,
                 stderr=log,
             )
-        # The whole system starts for the first time only once.
+        # Only the first start of the system may found the group.
         self.options.pop('first_start', None)
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Return whether the process has not ended."""
         return self._process is not None and self._process.returncode is None
 
     def has_started(self) -> bool:
-        """Return whether the program has said so since its last start."""
+        """Return whether the program has logged its last start as complete."""
         with self._log.open('rb') as log:
             log.seek(self._log_start)
             return b'event=started' in log.read()
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal, unless the process has ended."""
-        if self._process is not None and self.runs:
+        if self._process is not None and self.is_running:
             self._process.send_signal(number)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         self.send(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
 
     async def stop(self, timeout_s: float) -> int | str:
-        """Ask the process to end; return its code.
+        """Send SIGTERM and return the exit code.
 
-        One that does not end in time is killed, and what its threads were
-        doing is returned instead. One that has called exit has ended in
-        time: beside hundreds of processes the kernel took seconds to unmap
-        the libraries that they share.
+        A process that does not end in time is killed, and the state of its
+        threads is returned instead. A process that has called exit counts
+        as ended: with hundreds of processes the kernel took seconds to
+        unmap the libraries that they share.
         """
         assert self._process is not None
         self.send(signal.SIGTERM)
@@ -198,7 +198,7 @@
             lookups=f'{real}:{self.lookup_port}',
             data_dir=str(self._directory / f'{name}.data'),
             first_start=True,
-            heartbeat=_write_s(HEARTBEAT_S),
+            heartbeat=_format_seconds(HEARTBEAT_S),
             tolerated_hosts=_plan.TOLERATED_MEMBERS,
         )
 
@@ -210,7 +210,7 @@
             number,
             listen=f'{host}:{self._entry_port}',
             readiness=f'{host}:{self._ready_port}',
-            grace=_write_s(GRACE_S),
+            grace=_format_seconds(GRACE_S),
             retry_slack=40.0,
         )
 
@@ -234,7 +234,7 @@
         )
 
     def add_link(self, name: str, listen: str, to: str) -> None:
-        """Put a proxy before an address; called before the start."""
+        """Put a proxy in front of an address; call before the start."""
         self._forwards.append(
             settings.Forward(name=name, listen=listen, to=to)
         )
@@ -267,7 +267,7 @@
                 )
             )
         )
-        self._stack.push_async_callback(self._end_all)
+        self._stack.push_async_callback(self._kill_all)
         for process in self.processes.values():
             await process.start()
         return self
@@ -275,18 +275,18 @@
     async def __aexit__(self, *exc_info: object) -> None:
         await self._stack.aclose()
 
-    async def _end_all(self) -> None:
+    async def _kill_all(self) -> None:
         for process in self.processes.values():
             await process.kill()
 
     async def watch(self) -> None:
-        """Report and start again what ends although nobody ended it."""
+        """Record and restart processes that end without a fault."""
         while True:
             await asyncio.sleep(0.1)
             for process in self.processes.values():
-                if process.control.locked() or process.runs:
+                if process.control.locked() or process.is_running:
                     continue
-                self._record.find(f'{process.name} ended by itself')
+                self._record.add_finding(f'{process.name} ended by itself')
                 await process.start()
 
     # Faults
@@ -299,7 +299,7 @@
         )
 
     async def apply(self, fault: _plan.Fault) -> None:
-        """Carry out a fault of a process until it has ended."""
+        """Apply a fault to a process or its link until the fault ends."""
         if fault.kind is _plan.FaultKind.KILL_ALL:
             names = [name for name in self.processes if 'core' in name]
             await asyncio.gather(
@@ -314,7 +314,7 @@
         process = self.processes[fault.subject]
         async with process.control:
             started = time.monotonic()
-            await self._harm(process, fault)
+            await self._inject(process, fault)
             self._record.disturbances.append(
                 _record.Disturbance(
                     fault.subject,
@@ -325,18 +325,18 @@
                 )
             )
 
-    async def _harm(self, process: Process, fault: _plan.Fault) -> None:
+    async def _inject(self, process: Process, fault: _plan.Fault) -> None:
         match fault.kind:
             case _plan.FaultKind.PAUSE:
                 process.send(signal.SIGSTOP)
                 await asyncio.sleep(fault.for_s)
                 process.send(signal.SIGCONT)
             case _plan.FaultKind.STOP:
-                # A program that still starts ends at once by the signal.
+                # A starting program is ended by the signal itself.
                 expected = 0 if process.has_started() else -signal.SIGTERM
                 code = await process.stop(GRACE_S)
                 if code not in (0, expected):
-                    self._record.find(
+                    self._record.add_finding(
                         f'{process.name} ended with {code} after SIGTERM, '
                         f'expected 0 within {GRACE_S} s'
                     )
@@ -348,13 +348,13 @@
                 | _plan.FaultKind.TEAR
             ):
                 await process.kill()
-                self._harm_disk(process, fault.kind)
+                self._damage_disk(process, fault.kind)
                 await asyncio.sleep(fault.for_s)
                 await process.start()
             case _:
-                await self.harm_link(fault)
+                await self.disturb_link(fault)
 
-    def _harm_disk(self, process: Process, kind: _plan.FaultKind) -> None:
+    def _damage_disk(self, process: Process, kind: _plan.FaultKind) -> None:
         directory = pathlib.Path(process.options.get('data_dir', ''))
         if kind is _plan.FaultKind.WIPE:
             shutil.rmtree(directory, ignore_errors=True)
@@ -363,7 +363,7 @@
             with open(log, 'ab') as file:
                 file.write(os.urandom(TORN_BYTES))
 
-    async def harm_link(self, fault: _plan.Fault) -> None:
+    async def disturb_link(self, fault: _plan.Fault) -> None:
         """Hold, reset or delay the link of a subject, then heal it."""
         name = fault.subject
         directions = {
@@ -386,11 +386,11 @@
                 name, action=standin.Action.HOLD, direction=direction
             )
             await asyncio.sleep(fault.for_s)
-            # Late bytes of a partition that heals are delivered.
+            # Bytes held during the partition are delivered late.
             await self.shape_link(name, action=standin.Action.HEAL_LATE)
 
     async def wait_until_ready(self) -> None:
-        """Wait until every entry says that it is ready."""
+        """Wait until every entry reports that it is ready."""
         async with asyncio.timeout(START_S):
             for number in range(1, _plan.ENTRIES + 1):
                 address = f'127.0.22.{number}:{self._ready_port}'
--- a/tests/soak/_targets.py
+++ b/tests/soak/_targets.py
@@ -15,18 +15,19 @@
 POOLS = ('alpha', 'beta', 'gamma')
 # Nine targets run about 500 requests a second; the callers send about 100.
 SLOTS = 4
-QUEUE = 8
-WORK_S = (0.02, 0.12)
-# The slowest run then takes 1 s, within the deadline of callers.
+QUEUE_LIMIT = 8
+SERVICE_TIME_S = (0.02, 0.12)
+# Factor on the service time; the slowest run takes 1 s, within the
+# deadline of callers.
 SLOW_FACTOR = 8.0
-# A target goes on serving this long after its leave was acknowledged.
-LEAVE_S = 4.0
-# An address is used again by a target of another pool after this time.
+# A target keeps serving this long after its leave was acknowledged.
+LEAVE_SERVE_S = 4.0
+# A target of another pool may reuse an address after this time.
 ADDRESS_REUSE_S = 2.0
 
 
 class _Incarnation:
-    """One start of a target; a context manager listens and runs."""
+    """One incarnation of a target, which runs requests."""
 
     def __init__(
         self, target: str, pool: str, domain: str, record: _record.Record
@@ -38,32 +39,32 @@
         self.sequence = 0
         self.state = 'ready'
         self.slowdown = 1.0
-        self.sheds = False
+        self.is_shedding = False
         self._record = record
         self._slots = asyncio.Semaphore(SLOTS)
-        self._present = 0
+        self._request_count = 0
 
     async def handle(
         self, request: _server.ServerRequest
     ) -> _server.ServerResponse:
-        """Run a request, or say that it was not run."""
+        """Run a request, or respond that it was not run."""
         headers = {
             'X-Request-Id': request.headers.get('x-request-id', ''),
-            'X-Server-Load': f'{min(self._present, SLOTS)},'
-            f'{max(0, self._present - SLOTS)},{SLOTS}',
+            'X-Server-Load': f'{min(self._request_count, SLOTS)},'
+            f'{max(0, self._request_count - SLOTS)},{SLOTS}',
         }
         if request.headers.get('x-expect-instance') != self.target:
             return _server.ServerResponse(421, {**headers}, b'')
-        if self.sheds or self._present >= SLOTS + QUEUE:
+        if self.is_shedding or self._request_count >= SLOTS + QUEUE_LIMIT:
             return _server.ServerResponse(
                 503, {**headers, 'X-Not-Executed': '1'}, b''
             )
-        self._present += 1
+        self._request_count += 1
         try:
             async with self._slots:
                 return await self._run(request, headers)
         finally:
-            self._present -= 1
+            self._request_count -= 1
 
     async def _run(
         self, request: _server.ServerRequest, headers: dict[str, str]
@@ -74,18 +75,18 @@
                 name, self.target, self.pool, self.domain, time.monotonic()
             )
         )
-        await asyncio.sleep(random.uniform(*WORK_S) * self.slowdown)
+        await asyncio.sleep(random.uniform(*SERVICE_TIME_S) * self.slowdown)
         headers['X-Server-Stamp'] = f'{self.target}|{self.pool}|{name}'
         return _server.ServerResponse(200, headers, sign(name, request.body))
 
 
 def sign(request: str, body: bytes) -> bytes:
-    """Return the body of the answer to a request."""
+    """Return the body of the response to a request."""
     return f'{request}:{len(body)}:'.encode() + request.encode() * 20
 
 
 class TargetHost:
-    """A place for targets, one incarnation after the other."""
+    """Runs the incarnations of one target, one after the other."""
 
     def __init__(
         self,
@@ -97,8 +98,8 @@
         self._number = number
         self._system = system
         self._record = record
-        self._real = fakes.find_free_address()
-        self._seen = fakes.find_free_address()
+        self._listen_address = fakes.find_free_address()
+        self._proxy_address = fakes.find_free_address()
         # Each pool has targets in all failure domains.
         self._pool = POOLS[number // len(POOLS) % len(POOLS)]
         self._starts = 0
@@ -106,10 +107,10 @@
         self._server: _server.Server | None = None
         self._announcing: asyncio.Task[None] | None = None
         self.control = asyncio.Lock()
-        system.add_link(self.name, self._seen, self._real)
+        system.add_link(self.name, self._proxy_address, self._listen_address)
 
     async def start(self) -> None:
-        """Start a new incarnation with an id of its own."""
+        """Start a new incarnation with a new id."""
         self._starts += 1
         self._current = _Incarnation(
             f'{self.name}-{self._starts}',
@@ -117,29 +118,31 @@
             _system.find_domain(self._number),
             self._record,
         )
-        self._server = _server.Server(self._real, self._current.handle)
+        self._server = _server.Server(
+            self._listen_address, self._current.handle
+        )
         await self._server.__aenter__()
-        self._announcing = asyncio.create_task(self._announce_often())
+        self._announcing = asyncio.create_task(self._announce_periodically())
 
     async def crash(self) -> None:
-        """End without a word; all connections break."""
+        """End without announcing a leave; all connections break."""
         if self._announcing is not None:
             self._announcing.cancel()
         if self._server is not None:
             await self._server.__aexit__()
 
-    async def _announce_often(self) -> None:
+    async def _announce_periodically(self) -> None:
         while True:
             await self._announce()
             await asyncio.sleep(_system.HEARTBEAT_S)
 
     async def _announce(self) -> bool:
-        """Announce the present state; return whether that was taken."""
+        """Announce the current state; return whether it was accepted."""
         current = self._current
         assert current is not None
         current.sequence += 1
         body = {
-            'address': self._seen,
+            'address': self._proxy_address,
             'born': current.born_ms,
             'info': {
                 'service': current.pool,
@@ -169,10 +172,10 @@
     # Faults
 
     async def apply(self, fault: _plan.Fault) -> None:
-        """Carry out a fault until it has ended."""
+        """Apply a fault until it ends."""
         async with self.control:
             started = time.monotonic()
-            await self._harm(fault)
+            await self._inject(fault)
             self._record.disturbances.append(
                 _record.Disturbance(
                     self.name,
@@ -183,7 +186,7 @@
                 )
             )
 
-    async def _harm(self, fault: _plan.Fault) -> None:
+    async def _inject(self, fault: _plan.Fault) -> None:
         current = self._current
         assert current is not None
         match fault.kind:
@@ -205,14 +208,14 @@
                 await asyncio.sleep(fault.for_s)
                 current.slowdown = 1.0
             case _plan.FaultKind.SHED:
-                current.sheds = True
+                current.is_shedding = True
                 await asyncio.sleep(fault.for_s)
-                current.sheds = False
+                current.is_shedding = False
             case _:
-                await self._system.harm_link(fault)
+                await self._system.disturb_link(fault)
 
     async def _leave(self, current: _Incarnation) -> None:
-        """Announce the leave, serve on for a while, then end."""
+        """Announce the leave, keep serving for a while, then end."""
         current.state = 'draining'
         if self._announcing is not None:
             self._announcing.cancel()
@@ -220,6 +223,6 @@
             if await self._announce():
                 self._record.left[current.target] = time.monotonic()
                 break
-        await asyncio.sleep(LEAVE_S)
+        await asyncio.sleep(LEAVE_SERVE_S)
         await self._send('DELETE', b'')
         await self.crash()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -20,7 +20,7 @@
 
 
 class ShortSoakTest(unittest.TestCase):
-    """Guards against promises that break under faults in series."""
+    """Guards against violated guarantees under a series of faults."""
 
     def test_a_short_soak_keeps_all_promises(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
@@ -31,19 +31,19 @@
 
 
 class ExitTest(unittest.TestCase):
-    """Guards against an end in time that counts as late, or the reverse."""
+    """Guards against a timely exit that counts as late, or the reverse."""
 
     def test_a_program_that_called_exit_has_ended(self) -> None:
         with subprocess.Popen(['sleep', '60']) as process:
             self.assertFalse(_system.is_exiting(process.pid))
             process.kill()
-            # Not reaped yet: the kernel still holds what is left of it.
+            # Waits without reaping: the process stays a zombie.
             os.waitid(os.P_PID, process.pid, os.WEXITED | os.WNOWAIT)
             self.assertTrue(_system.is_exiting(process.pid))
 
 
 class PlanTest(unittest.TestCase):
-    """Guards against plans that differ or that the group does not bear."""
+    """Guards against plans that vary or exceed what the group tolerates."""
 
     def test_a_seed_gives_one_plan(self) -> None:
         self.assertEqual(_plan.draw_plan(5, 20.0), _plan.draw_plan(5, 20.0))
@@ -62,7 +62,7 @@
 
 
 def make_record() -> _record.Record:
-    """Return a record of a sound day: one write and one moved read."""
+    """Return a record without violations: a write and a moved read."""
     record = _record.Record()
     record.moves = [
         _record.Move(version, _operator.find_pool(version), float(version))
@@ -115,13 +115,13 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """Guards against checks that see nothing."""
+    """Guards against checks that miss violations."""
 
     def setUp(self) -> None:
         self.record = make_record()
 
     def assert_found(self, text: str) -> None:
-        """Check that one finding names a text."""
+        """Check that there is one finding and that it contains a text."""
         findings = _checks.check_record(self.record)
         self.assertEqual(1, len(findings), findings)
         self.assertIn(text, findings[0])
