--- a/tests/allocator_fixtures.py
+++ b/tests/allocator_fixtures.py
@@ -1,4 +1,4 @@
-"""A leader with entries in virtual time for tests of the allocator."""
+"""A leader and entries in virtual time for tests of the allocator."""
 
 from fulmarseam import membership
 from fulmarseam import steering
@@ -38,7 +38,7 @@
     slots: list[wire.SlotGrant],
     links: list[wire.LinkRate] | None = None,
 ) -> wire.SyncResponse:
-    """Return an answer that carries only grants."""
+    """Return a response that carries only grants."""
     return wire.SyncResponse(
         term=term,
         leadership_age_ms=0,
@@ -128,7 +128,7 @@
         )
 
     def request_grants(self, name: str) -> wire.SyncResponse:
-        """Report, plan and issue; the answer is not applied."""
+        """Report, plan and issue grants; the response is not applied."""
         self.leader.report(self.now, self.request(name))
         self.plan()
         grants = self.leader.issue_grants(self.now, name, 1)
@@ -148,7 +148,7 @@
             self.sync()
 
     def run_takeover(self) -> None:
-        """Pass the time in which a new leader is careful."""
+        """Run past the time in which a new leader holds back grants."""
         self.run(8.0)
 
     def list_allowances(self, name: str) -> dict[str, int]:
--- a/tests/catalog_fixtures.py
+++ b/tests/catalog_fixtures.py
@@ -66,7 +66,7 @@
 
 
 def make_route_removal(name: str, version: int) -> wire.Item:
-    """Return a version that drops a route."""
+    """Return a version that removes a route."""
     return wire.Item(kind=wire.ItemKind.ROUTE, name=name, version=version)
 
 
@@ -113,7 +113,7 @@
 def put(
     machine: catalog.Catalog, *items: wire.Item, digest: bytes | None = None
 ) -> wire.CatalogResult:
-    """Apply a call of an operator."""
+    """Apply an edit of an operator."""
     if digest is None:
         digest = repr(items).encode()
     return apply(machine, catalog.PutItems(items=list(items), digest=digest))
@@ -130,7 +130,7 @@
 def leave(
     machine: catalog.Catalog, name: str, born_ms: int = 0
 ) -> wire.CatalogResult:
-    """Apply the last word of a target."""
+    """Apply the leave of a target."""
     command = catalog.LeaveTarget(target=target_id(name), born_ms=born_ms)
     return apply(machine, command)
 
--- a/tests/consensus_simulation.py
+++ b/tests/consensus_simulation.py
@@ -21,7 +21,7 @@
 
 
 class Disk:
-    """What a member has synced."""
+    """The synced state of a member."""
 
     def __init__(self, founding: wire.GroupMembers) -> None:
         self.state = _core_types.DurableState(founding)
@@ -144,7 +144,7 @@
     # Nodes
 
     def start(self, node: Node) -> None:
-        """Start a node from what it has synced."""
+        """Start a node from its synced state."""
         if node.replica is not None:
             return
         node.starts += 1
@@ -164,13 +164,13 @@
         self._schedule_tick(node)
 
     def crash(self, node: Node) -> None:
-        """Stop a node; what was not synced is lost."""
+        """Stop a node; state that was not synced is lost."""
         node.replica = None
         for key in [key for key in self._pending if key[0] == node.name]:
             del self._pending[key]
 
     def clock(self, node: Node) -> float:
-        """Return the node's monotonic clock, which starts anew."""
+        """Return the node's monotonic clock, which drifts by its rate."""
         return self.now * node.rate
 
     def _schedule_tick(self, node: Node) -> None:
@@ -192,7 +192,7 @@
     def _carry_out(
         self, node: Node, effects: _core_types.Effects, sender: str = ''
     ) -> None:
-        """Do what a driver does; a crash may come at each point."""
+        """Carry out effects as a driver does; may crash at each point."""
         point, node.crash_point = node.crash_point, None
         if point == 'before sync':
             self.crash(node)
@@ -349,7 +349,7 @@
     def _check_held_by_majority(
         self, node: Node, entry: wire.LogEntry
     ) -> None:
-        """An entry is first committed when a majority has synced it."""
+        """Check that a majority has synced an entry when it is committed."""
         assert node.replica is not None
         holders = [
             other.name
@@ -362,7 +362,7 @@
         )
 
     def _check_members(self, entry: wire.LogEntry) -> None:
-        """Committed member sets differ by at most one voter."""
+        """Check that successive member sets differ by at most one voter."""
         if entry.type is not wire.EntryType.MEMBERS:
             return
         voters = _list_voters(entry)
@@ -374,7 +374,7 @@
                 return
 
     def _check_leader(self, node: Node) -> None:
-        """Election safety and leader completeness."""
+        """Check election safety and leader completeness."""
         replica = node.replica
         if replica is None or replica.role is not LEADER:
             return
@@ -386,7 +386,7 @@
                 assert held, 'a leader lacks a committed entry'
 
     def _check_leases(self) -> None:
-        """A leader within its lease is the newest and has every entry."""
+        """Check that a leader in its lease is newest and has all entries."""
         for node in self.list_leaders():
             replica = node.replica
             assert replica is not None
@@ -415,7 +415,7 @@
         self._confirming = waiting
 
     def heal_and_check(self) -> None:
-        """Heal everything; the members must agree on all that was done."""
+        """End all faults; check that all members agree on all commands."""
         self.blocked_links.clear()
         self.loss = 0.0
         for node in self.nodes.values():
--- a/tests/control_fixtures.py
+++ b/tests/control_fixtures.py
@@ -40,7 +40,7 @@
 
 
 def parse_control_settings(content: str) -> settings.ControlSettings:
-    """Return the settings that a YAML text holds."""
+    """Parse control settings from a YAML text."""
     return settings.read_settings(content, settings.ControlSettings)
 
 
@@ -91,7 +91,7 @@
     wait_ms: int = 400,
     copies: Iterable[wire.RecordCopy] = (),
 ) -> wire.SyncRequest:
-    """Return a sync request that follows an answer, if there is one."""
+    """Return a sync request that acknowledges the response, if given."""
     reports = list(announcements)
     return wire.SyncRequest(
         info=info or make_info(),
@@ -113,7 +113,7 @@
 
 
 def make_slot_use(target: str, allowance: int, in_flight: int) -> wire.SlotUse:
-    """Return what an entry holds on a target."""
+    """Return the slots that an entry holds on a target."""
     return wire.SlotUse(
         target=ids.TargetId(target), allowance=allowance, in_flight=in_flight
     )
--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -52,7 +52,7 @@
         return self.directory / f'{member}.yaml'
 
     def write_ctl(self, members: Sequence[str]) -> None:
-        """Make fulmarseam-ctl know only some members."""
+        """Write settings for fulmarseam-ctl that list only some members."""
         lines = [
             f"  {member}: '{self.addresses[member]}'" for member in members
         ]
@@ -102,7 +102,7 @@
     def ctl(
         self, *arguments: str, config: str = 'ctl.yaml'
     ) -> subprocess.CompletedProcess[str]:
-        """Run fulmarseam-ctl."""
+        """Run fulmarseam-ctl with the given arguments."""
         return subprocess.run(
             [
                 sys.executable,
--- a/tests/entry_case.py
+++ b/tests/entry_case.py
@@ -1,4 +1,4 @@
-"""A running entry between fake neighbours."""
+"""A test case with an entry, a fake leader and fake targets."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 def make_route(**changes: object) -> wire.Route:
-    """Return a route that takes everything."""
+    """Return a route that matches every request."""
     values: dict[str, object] = {
         'name': 'r',
         'host': '*',
@@ -37,7 +37,7 @@
 
 
 class Answer:
-    """An answer taken apart."""
+    """A parsed response."""
 
     def __init__(self, data: bytes) -> None:
         head, _, self.body = data.partition(b'\r\n\r\n')
@@ -51,12 +51,12 @@
 
     @property
     def kind(self) -> str:
-        """Return the kind of an answer that the entry made itself."""
+        """Return the error kind of a response made by the entry."""
         return self.headers.get('fulmarseam-kind', '')
 
     @property
     def outcome(self) -> str:
-        """Return the outcome that the caller is told."""
+        """Return the outcome that the response states."""
         return self.headers.get('fulmarseam-outcome', '')
 
     def describe(self) -> tuple[int, str, str]:
@@ -112,14 +112,14 @@
         return target
 
     def announce(self, report: wire.TargetReport) -> None:
-        """Let the leader have an announcement."""
+        """Record an announcement at the leader and request a sync."""
         self.leader.targets.record(
             asyncio.get_running_loop().time(), report, 0
         )
         self.entry.synchronizer.request_now()
 
     def is_usable(self, name: str) -> bool:
-        """Return whether the entry has a slot on a target."""
+        """Return whether the entry has a free slot on a target."""
         now = asyncio.get_running_loop().time()
         found = self.entry.state.targets.get(name)  # type: ignore[arg-type]
         free = self.entry.state.slots.count_free(
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the neighbours of an entry."""
+"""Fakes of the control leader and the targets of an entry."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -191,7 +191,7 @@
 async def read_request(
     target: FakeTarget, reader: asyncio.StreamReader, kept: bytearray
 ) -> bytes:
-    """Return the next request with its body; all bytes are kept."""
+    """Return the next request with its body; append it to `kept`."""
     head = await reader.readuntil(b'\r\n\r\n')
     kept += head
     lower = head.lower()
@@ -208,7 +208,7 @@
 
 
 def answer_always(answer: bytes) -> Behaviour:
-    """Return a behaviour that answers every request alike."""
+    """Return a behaviour that sends the same response to every request."""
 
     async def serve(
         target: FakeTarget,
--- a/tests/gateway_case.py
+++ b/tests/gateway_case.py
@@ -18,7 +18,7 @@
 
 
 class Reply(NamedTuple):
-    """What a caller got."""
+    """A response as a caller receives it."""
 
     status: int
     headers: dict[str, str]
@@ -51,7 +51,7 @@
     body: bytes = b'hello',
     **extra: str,
 ) -> None:
-    """Write a whole answer that echoes the request id."""
+    """Write a complete response that echoes the request id."""
     fields = {
         'fulmarseam-request-id': headers['fulmarseam-request-id'],
         'content-length': str(len(body)),
@@ -97,7 +97,7 @@
         writer.close()
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         assert self._server is not None
         self._server.close()
 
@@ -220,7 +220,7 @@
         return reader, writer
 
     async def read_reply(self, reader: asyncio.StreamReader) -> Reply:
-        """Read one answer with a length."""
+        """Read one response with a content length."""
         found = await read_head(reader)
         assert found is not None, 'the connection ended without an answer'
         line, headers = found
--- a/tests/integration/_case.py
+++ b/tests/integration/_case.py
@@ -63,7 +63,7 @@
         return await self.enterAsyncContext(_run.Run(plan))
 
     def check(self, run: _run.Run, least_good: int) -> _checker.Facts:
-        """Fail on a broken promise, or on too few good answers."""
+        """Fail on a violated guarantee, or on too few good responses."""
         facts = run.collect()
         self.assertEqual([], _checker.find_violations(facts))
         good = sum(
--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -10,12 +10,12 @@
 from fulmarseam.bench import _waiting
 from tests.integration import _case
 
-# The page's bound for a new control leader after a kill.
+# Documented bound for a new control leader after a kill.
 NEW_LEADER_S = 2.0
 
 
 class ControlCase(_case.ClusterCase):
-    """Questions that several tests ask."""
+    """Reads and waits that several tests share."""
 
     async def read_routes(self, cluster: _cluster.Cluster) -> set[str]:
         tables = await cluster.operator.read_tables()
@@ -52,7 +52,7 @@
 
 
 class LeaderTest(ControlCase):
-    """Guards against lost or reverted edits when a leader goes."""
+    """Guards against lost or reverted edits when a leader fails."""
 
     async def test_kill_of_the_leader_during_edits(self) -> None:
         cluster = await self.start_cluster(_case.make_control_plan(3))
--- a/tests/integration/test_control_group.py
+++ b/tests/integration/test_control_group.py
@@ -13,7 +13,7 @@
 
 
 class ControlGroupTest(unittest.TestCase):
-    """Guards against accepted edits that a fault takes back."""
+    """Guards against accepted edits that are lost by a fault."""
 
     def start(self, count: int) -> control_processes.ControlGroup:
         return self.enterContext(control_processes.ControlGroup(count))
--- a/tests/integration/test_entries.py
+++ b/tests/integration/test_entries.py
@@ -15,7 +15,7 @@
 from fulmarseam.bench import _waiting
 from tests.integration import _case
 
-# After this long without the leader an entry takes no work.
+# An entry that has not heard the leader for this long accepts no requests.
 CONFIG_LEASE_S = 3.0
 MARGIN_S = 1.0
 ROUTES = [
@@ -24,7 +24,7 @@
 ]
 
 
-# A holder counts as lost 6.03 s after it was last heard.
+# A record holder counts as lost 6.03 s after it was last heard.
 REPAIR_S = 7.0
 # Two targets with four slots.
 SLOTS_OF_REGION = 8
@@ -148,7 +148,7 @@
 
 
 class PartitionTest(EntryCase):
-    """Guards against an entry that goes on with an old configuration."""
+    """Guards against an entry that keeps using an old configuration."""
 
     async def check_partition(
         self, incoming: bool, outgoing: bool, once: bool = False
@@ -255,7 +255,7 @@
 
 
 class MalformedTest(EntryCase):
-    """Guards against bytes that take a process down or get through."""
+    """Guards against malformed bytes that crash a process or are forwarded."""
 
     REQUESTS = (
         b'\x00\x01\x02\r\n\r\n',
@@ -341,7 +341,7 @@
 
 
 class ConfigurationTest(EntryCase):
-    """Guards against edits that come into force late or not at all."""
+    """Guards against edits that take effect late or not at all."""
 
     async def test_edits_are_in_force_within_the_bound(self) -> None:
         run = await self.start_run(_case.make_plan(once=False))
--- a/tests/integration/test_targets.py
+++ b/tests/integration/test_targets.py
@@ -18,7 +18,7 @@
 READS = [_run.make_route_load(_case.POOL)]
 LEAVE_BOUND_S = _checker.LEAVE_BOUND_S
 ONE_REGION = ('ost',)
-# Seen where an entry is cut off and the other one is short of slots.
+# Occurs when one entry is cut off and the other is short of slots.
 TIMEOUT_KIND = errors.ErrorKind.TARGET_TIMEOUT.value
 
 
@@ -36,7 +36,7 @@
             name.replace('_', '-'): value for name, value in headers.items()
         }
         named['Standin-Mark'] = mark
-        # A path of its own, since requests are told apart by path and body.
+        # Requests are identified by path and body, so each mark has its path.
         path = f'/{mark}'
         request = client.Request('GET', f'{_case.POOL}.example', path, named)
         http_client = client.HttpClient()
@@ -54,7 +54,7 @@
 
 
 class LossTest(TargetCase):
-    """Guards against answers that hide what became of a request."""
+    """Guards against responses that misstate what happened to a request."""
 
     async def test_kill_of_a_target_under_load(self) -> None:
         run = await self.start_run(
@@ -142,7 +142,7 @@
     async def check_leave(
         self, run: _run.Run, name: str | None, rate: float, least_good: int
     ) -> None:
-        """Let a target leave under load, without a name the busiest one."""
+        """Let a target, by default the busiest, leave under load."""
         run.start_load('ost', READS, [(rate, 6.0)])
         await _run.wait_until_moment(run, 1.5)
         by_load = name is None
@@ -301,7 +301,7 @@
 
 
 class ReportTest(TargetCase):
-    """Guards against trust in load reports that mislead."""
+    """Guards against wrong load reports that mislead the placement."""
 
     async def test_reports_that_stop_or_lie(self) -> None:
         run = await self.start_run(
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -14,7 +14,7 @@
 
 
 class ErrorPageTest(unittest.TestCase):
-    """Guards against an error page that says other than the code."""
+    """Guards against an error page that contradicts the code."""
 
     def test_page_lists_every_kind_with_its_answer(self) -> None:
         page = (ROOT / 'docs' / 'errors.md').read_text(encoding='utf-8')
@@ -33,7 +33,7 @@
 
 
 class EventPageTest(unittest.TestCase):
-    """Guards against log lines that the page for operators does not know."""
+    """Guards against log events that the operations page does not list."""
 
     PACKAGES = ('catalog', 'gateway', 'platform')
     MODULES = ('control/_catalog.py', 'telemetry/_requests.py')
