--- a/tests/integration/_case.py
+++ b/tests/integration/_case.py
@@ -65,7 +65,7 @@
     def check(
         self, run: _run.ScenarioRun, least_good: int
     ) -> _checker.History:
-        """Fail on a broken promise, or on too few good answers."""
+        """Fail on a violated guarantee, or on too few good responses."""
         history = run.collect_history()
         self.assertEqual([], _checker.find_violations(history))
         good = sum(
