--- a/fulmarseam/wire/_admin.py
+++ b/fulmarseam/wire/_admin.py
@@ -11,11 +11,11 @@
     """Changes to tables, accepted as a whole or not at all.
 
     `base` holds, for each table changed, the version of the table that the
-    edit was made against. An edit may be sent again under the same id.
-    `content` names what the operator asked for. A resend is known by it,
-    since the changes that lead there depend on the tables at the time;
-    without it the changes themselves must be the same. `blocks`, if any,
-    is an image that replaces the blocks table.
+    edit was made against. An edit may be resent under the same id.
+    `content` identifies what the operator asked for. A resend must have
+    the same `content`, because the changes needed for it depend on the
+    tables at that time; without `content` the changes must be the same.
+    `blocks`, if not empty, is an image that replaces the blocks table.
     """
 
     edit_id: ids.EditId
@@ -47,10 +47,10 @@
 class EditResult(msgspec.Struct, tag='edit_result', frozen=True, kw_only=True):
     """The first result of an edit.
 
-    `kind` is nothing when the edit was accepted, else the value of an
-    `errors.ErrorKind`. `revision` is the revision of the accepted edit, or
-    on a version conflict the revision that won; `winner` is the edit id
-    that won. `problems` holds one line for each reason of a refusal.
+    `kind` is None when the edit was accepted, else the value of an
+    `errors.ErrorKind`. `revision` is the revision of the accepted edit or,
+    on a version conflict, that of the edit that won; `winner` is the id of
+    that edit. `problems` holds one line for each reason for a rejection.
     """
 
     edit_id: ids.EditId
@@ -63,7 +63,7 @@
 class TablesRequest(
     msgspec.Struct, tag='tables_request', frozen=True, kw_only=True
 ):
-    """Asks the leader for the rows of some tables; none means all."""
+    """Asks the leader for table rows; empty `tables` asks for all."""
 
     tables: list[_rows.TableName] = []
 
@@ -85,14 +85,14 @@
 class StatusRequest(
     msgspec.Struct, tag='status_request', frozen=True, kw_only=True
 ):
-    """Asks any control member how it sees the group."""
+    """Asks a control member for its view of the group."""
 
 
 class MemberRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A control member as the answering member knows it.
+    """A control member as seen by the member that answers.
 
-    `match_index` is the last log index known to be on the member; only the
-    leader knows it.
+    `match_index` is the last log index known to be stored on the member;
+    it is None unless the leader answers.
     """
 
     member: ids.MemberId
@@ -105,10 +105,10 @@
 class StatusResponse(
     msgspec.Struct, tag='status_response', frozen=True, kw_only=True
 ):
-    """How a control member sees the group.
+    """A control member's view of the group.
 
-    `leadership_age_ms` is nothing unless the member leads with a valid
-    leadership age.
+    `leadership_age_ms` is None unless the member is the leader and its
+    leadership age is valid.
     """
 
     member: ids.MemberId
@@ -128,10 +128,10 @@
 
 
 class EntryProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry and the revision that it has in force.
+    """An entry and the revision that it applies.
 
     `silent_ms` is the time since its last sync request. `in_flight` counts
-    its requests at targets.
+    its requests that run on targets.
     """
 
     row: _sync.EntryRow
@@ -167,7 +167,7 @@
 class QuarantineRow(msgspec.Struct, frozen=True, kw_only=True):
     """A quarantined or suspected fingerprint and the targets it broke.
 
-    `left_ms` is the time until the entry forgets it.
+    `left_ms` is the time until the entry discards the fingerprint.
     """
 
     fingerprint: str
@@ -185,7 +185,7 @@
 
 
 class MemberAdd(msgspec.Struct, tag='member_add', frozen=True, kw_only=True):
-    """Asks the leader to add a control member as a learner, then voter."""
+    """Asks the leader to add a member as a learner, then as a voter."""
 
     member: ids.MemberId
     address: str
--- a/fulmarseam/wire/_catalog.py
+++ b/fulmarseam/wire/_catalog.py
@@ -1,7 +1,7 @@
 """Rows and messages of a catalog: configuration items and live targets.
 
-A catalog is the state of a group whose operators give each item a version
-of its own, and in which targets announce themselves to the members.
+A catalog is the state of a group in which operators version each item
+separately and targets announce themselves to the members.
 """
 
 import enum
@@ -27,12 +27,12 @@
 ):
     """Requests matched by host and path prefix, and how they are served.
 
-    `split` has one part for a route to one pool. `timeout_ms` is the
-    longest time a caller is kept waiting and `target_latency_ms` the time
-    within which an answer is of full use. `priority` 0 is served first.
-    At most `max_attempts` targets get one request, and one that is not
-    idempotent never runs twice. `sticky` sends the requests for one object
-    to the same target. `allowed_regions` empty allows all regions.
+    `split` has a single part for a route to one pool. `timeout_ms` is the
+    longest time that a caller waits for a response. A response within
+    `target_latency_ms` keeps its full value. `priority` 0 is served first.
+    A request is sent to at most `max_attempts` targets; a request that is
+    not idempotent never runs twice. `sticky` sends the requests for one
+    object to the same target. An empty `allowed_regions` allows all regions.
     """
 
     name: ids.RouteName
@@ -55,7 +55,7 @@
     """Targets that can serve the same requests.
 
     A target accepts `max_connections` from all callers together. For
-    `cold_s` after its start it takes `cold_per_s` requests a second.
+    `cold_s` after its start it accepts `cold_per_s` requests per second.
     """
 
     name: ids.PoolName
@@ -73,7 +73,7 @@
     kw_only=True,
     array_like=True,
 ):
-    """What a caller may send and how long it may take; sizes in bytes."""
+    """Limits on the size in bytes and the duration of a request."""
 
     version: int
     max_header_bytes: int
@@ -95,10 +95,10 @@
 
 
 class Item(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One version of an item; `row` is None when it was dropped.
+    """One version of an item; `row` is None if it was deleted.
 
-    `source` is what the operator sent, so that reading it back returns the
-    same content in the operator's own form.
+    `source` is the content as the operator sent it, so that a read returns
+    it in the same form.
     """
 
     kind: ItemKind
@@ -109,7 +109,7 @@
 
 
 class TargetPhase(enum.Enum):
-    """Whether a target takes new requests; it only moves forward."""
+    """Whether a target accepts new requests; phases only move forward."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -117,11 +117,11 @@
 
 
 class TargetRecord(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What a target said of itself last.
+    """The latest announcement of a target.
 
     `born_ms` is the start of its incarnation in milliseconds since the
     epoch, and `sequence` counts its announcements within it. `cold_ms` is
-    how long it stays cold, counted from the announcement.
+    how long it stays cold after the announcement.
     """
 
     target: ids.TargetId
@@ -139,7 +139,7 @@
 class CatalogCommand(
     msgspec.Struct, tag='catalog_command', frozen=True, kw_only=True
 ):
-    """A command that a member passes on to the leader."""
+    """A command that a member forwards to the leader."""
 
     command: bytes
 
@@ -149,7 +149,8 @@
 ):
     """The result of a catalog command.
 
-    `problems` lists why it was refused; nothing of it is then in force.
+    `problems` lists why the command was rejected; no part of a rejected
+    command is applied.
     """
 
     revision: int
@@ -159,15 +160,15 @@
 class TargetRenewal(
     msgspec.Struct, tag='target_renewal', frozen=True, kw_only=True
 ):
-    """Targets that announced themselves lately to the sender."""
+    """Targets that recently announced themselves to the sender."""
 
     targets: list[ids.TargetId]
 
 
 class EntryState(enum.Enum):
-    """Whether an entry may be named to new callers.
+    """Whether new callers may be directed to an entry.
 
-    An entry is starting until it holds a configuration.
+    An entry is STARTING until it has a configuration.
     """
 
     STARTING = 'starting'
@@ -176,12 +177,12 @@
 
 
 class EntryPoll(msgspec.Struct, tag='entry_poll', frozen=True, kw_only=True):
-    """An entry presents itself and may ask for what it does not hold.
+    """An entry's report on itself, with an optional request for changes.
 
     `incarnation` is the start of its process in milliseconds since the
-    epoch. With `wants_changes` the answer lists what changed after
-    `revision`; the entry knows of the removals up to `removals_revision`,
-    which is -1 before its first answer.
+    epoch. With `wants_changes` the response lists the changes after
+    `revision`. The entry knows the removals up to `removals_revision`,
+    which is -1 before its first response.
     """
 
     entry: ids.EntryId
@@ -198,10 +199,10 @@
 class CatalogChanges(msgspec.Struct, frozen=True, kw_only=True):
     """Changes of a catalog in the order in which they were made.
 
-    They lead to `revision`; more follow when that is below `newest`. With
-    `full` they start from nothing, because the removals that the entry has
-    missed are no longer known one by one. `evacuated` and
-    `removed_targets` are those of `newest`.
+    They bring the entry to `revision`; more follow when that is below
+    `newest`. With `full` they start from an empty catalog, because the
+    individual removals that the entry missed are no longer stored.
+    `evacuated` and `removed_targets` are as of revision `newest`.
     """
 
     revision: int
@@ -216,10 +217,10 @@
 class EntryPollResponse(
     msgspec.Struct, tag='entry_poll_response', frozen=True, kw_only=True
 ):
-    """The answer to an `EntryPoll`.
+    """The response to an `EntryPoll`.
 
-    `members` are the addresses of the control members, and `entry_count`
-    the entries that may send.
+    `members` lists the addresses of the control members. `entry_count` is
+    the number of entries that may send requests.
     """
 
     revision: int
--- a/fulmarseam/wire/_codec.py
+++ b/fulmarseam/wire/_codec.py
@@ -35,22 +35,22 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the MessagePack form of a message."""
+    """Encode a message as MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Return the message held in `data`.
+    """Decode a message from MessagePack.
 
-    Raises `errors.WireError` when the data is no known message.
+    Raises `errors.WireError` if `data` is not a known message.
     """
     return decode_with(_decoder, data)
 
 
 def decode_with(decoder: msgspec.msgpack.Decoder[T], data: bytes) -> T:
-    """Return what a decoder of another type finds in `data`.
+    """Decode `data` with a decoder for another type.
 
-    Raises `errors.WireError` when the data does not have that type.
+    Raises `errors.WireError` if `data` does not have that type.
     """
     try:
         return decoder.decode(data)
--- a/fulmarseam/wire/_common.py
+++ b/fulmarseam/wire/_common.py
@@ -1,10 +1,10 @@
-"""Messages that any call may be answered with."""
+"""Responses that any call may return."""
 
 import msgspec
 
 
 class Ok(msgspec.Struct, tag='ok', frozen=True):
-    """The call was handled and has no result."""
+    """The call succeeded and has no result."""
 
 
 class Failure(msgspec.Struct, tag='failure', frozen=True):
--- a/fulmarseam/wire/_consensus.py
+++ b/fulmarseam/wire/_consensus.py
@@ -10,10 +10,10 @@
 class MemberInfo(msgspec.Struct, frozen=True, kw_only=True):
     """A member of the group.
 
-    `store` is the random id of its data directory: a directory that was
-    wiped has another one. A learner (`voter` false) gets the log and
-    counts for no majority. `host` is the host it runs on, empty in a group
-    whose members an operator names.
+    `store` is the random id of its data directory; a directory that was
+    wiped gets a new id. A learner (`voter` false) receives the log but
+    does not count towards a majority. `host` is the host it runs on, empty
+    in a group whose members are named by an operator.
     """
 
     member: ids.MemberId
@@ -25,14 +25,14 @@
 
 
 class GroupMembers(msgspec.Struct, frozen=True):
-    """The members of the group and the ids that may not come back."""
+    """The members of the group and the ids that must not be reused."""
 
     members: list[MemberInfo] = []
     retired: list[ids.MemberId] = []
 
 
 class LogEntryType(enum.Enum):
-    """What a log entry holds."""
+    """The kinds of log entries."""
 
     COMMAND = 'c'
     TERM_START = 't'
@@ -42,7 +42,7 @@
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
     """One entry of the replicated log.
 
-    `data` is a command of the machine, or encoded `GroupMembers`.
+    `data` is a command of the state machine, or encoded `GroupMembers`.
     """
 
     index: int
@@ -54,7 +54,7 @@
 class VoteRequest(
     msgspec.Struct, tag='vote_request', frozen=True, kw_only=True
 ):
-    """A candidate asks for a vote, or with `pre_vote` if it would get one."""
+    """Asks for a vote or, with `pre_vote`, whether it would be granted."""
 
     term: int
     last_index: int
@@ -65,7 +65,7 @@
 class VoteResponse(
     msgspec.Struct, tag='vote_response', frozen=True, kw_only=True
 ):
-    """The answer to a vote request for `for_term`."""
+    """The response to a vote request for term `for_term`."""
 
     term: int
     for_term: int
@@ -76,9 +76,9 @@
 class AppendRequest(
     msgspec.Struct, tag='append_request', frozen=True, kw_only=True
 ):
-    """Entries that follow (`previous_index`, `previous_term`).
+    """Log entries that follow (`previous_index`, `previous_term`).
 
-    `round` is the leader's number of the confirmation round.
+    `round` is the leader's confirmation round number.
     """
 
     term: int
@@ -92,7 +92,7 @@
 class AppendResponse(
     msgspec.Struct, tag='append_response', frozen=True, kw_only=True
 ):
-    """The answer to an append.
+    """The response to an append request.
 
     With `success` the logs are equal up to `match_index`. Otherwise the
     leader continues at `hint_index`, or after its own last entry of
@@ -109,7 +109,7 @@
 
 
 class SnapshotMeta(msgspec.Struct, frozen=True, kw_only=True):
-    """What a snapshot covers, its size in bytes and its CRC-32."""
+    """The log position, members, size in bytes and CRC-32 of a snapshot."""
 
     index: int
     term: int
@@ -133,10 +133,10 @@
 class SnapshotResponse(
     msgspec.Struct, tag='snapshot_response', frozen=True, kw_only=True
 ):
-    """The answer to a chunk.
+    """The response to a snapshot chunk.
 
-    `index` names the snapshot, and `next_offset` is the first byte that is
-    missing. With `done` the member has everything up to `index`.
+    `index` identifies the snapshot and `next_offset` is the first missing
+    byte. With `done` the member has all log entries up to `index`.
     """
 
     term: int
@@ -165,14 +165,14 @@
 class MemberResponse(
     msgspec.Struct, tag='member_response', frozen=True, kw_only=True
 ):
-    """The answer of a member."""
+    """The response of a member."""
 
     sender: ids.MemberId
     body: ReplicaResponse
 
 
 class Founding(msgspec.Struct, frozen=True, kw_only=True):
-    """The first members of a group, all of which were new."""
+    """The initial members of a group, all of which were new."""
 
     group: str
     members: GroupMembers
@@ -181,9 +181,9 @@
 class IdentityRequest(
     msgspec.Struct, tag='identity_request', frozen=True, kw_only=True
 ):
-    """Asks a member who it is.
+    """Asks a member for its identity.
 
-    `candidate` describes a sender that belongs to no group and wants to.
+    `candidate` describes a sender that is in no group and wants to be in one.
     """
 
     sender: ids.MemberId
@@ -196,7 +196,8 @@
     """A member's id and data directory.
 
     `group` is empty while the member belongs to no group. `members` is the
-    group as the member knows it now, and `founding` as it was founded.
+    membership currently known to the member; `founding` is the initial
+    membership of the group.
     """
 
     member: ids.MemberId
--- a/fulmarseam/wire/_peers.py
+++ b/fulmarseam/wire/_peers.py
@@ -9,7 +9,7 @@
 class LeaveNotice(
     msgspec.Struct, tag='leave_notice', frozen=True, kw_only=True
 ):
-    """A target that announced to the sender that it is leaving."""
+    """Forwards the announcement of a target that is leaving."""
 
     report: _sync.TargetReport
 
@@ -19,8 +19,8 @@
 ):
     """A connection to `target` broke while a request ran there.
 
-    `fingerprint` names the request. With `cleared` the request has since
-    had a full answer and its strikes are void.
+    `fingerprint` identifies the request. With `cleared` the request has
+    since received a complete response and its strikes are void.
     """
 
     fingerprint: str
@@ -31,7 +31,7 @@
 class DrainNotice(
     msgspec.Struct, tag='drain_notice', frozen=True, kw_only=True
 ):
-    """An entry that is shutting down and takes no new callers."""
+    """Announces that an entry shuts down and accepts no new callers."""
 
     entry: ids.EntryId
     incarnation: int
--- a/fulmarseam/wire/_records.py
+++ b/fulmarseam/wire/_records.py
@@ -8,7 +8,7 @@
 
 
 class RecordState(enum.Enum):
-    """What is known about a request that was claimed."""
+    """The outcome, if known, of a claimed request."""
 
     PENDING = 'pending'
     DONE = 'done'
@@ -16,7 +16,7 @@
 
 
 class Verdict(enum.Enum):
-    """What the record holder says about a claim; only FRESH may run."""
+    """The result of a claim; only a FRESH request may run."""
 
     FRESH = 'fresh'
     IN_PROGRESS = 'in-progress'
@@ -26,7 +26,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The answer of a target; `body` is None when it was not kept."""
+    """The response of a target; `body` is None if it was not stored."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -34,9 +34,9 @@
 
 
 class RecordRow(msgspec.Struct, frozen=True, array_like=True):
-    """A record.
+    """The at-most-once record of a request.
 
-    `deadline_ms` is the time left to a pending request when the row was
+    `deadline_ms` is the time left for a pending request when the row was
     sent.
     """
 
@@ -60,8 +60,8 @@
 ):
     """Claims the right to run a request once.
 
-    `attempt` names one processing of the request by one entry. A repeat
-    with the same attempt gets the same verdict.
+    `attempt` identifies one attempt of one entry to process the request.
+    A repeated claim with the same `attempt` gets the same verdict.
     """
 
     region: ids.RegionName
@@ -74,7 +74,7 @@
 class RecordVerdict(
     msgspec.Struct, tag='record_verdict', frozen=True, kw_only=True
 ):
-    """The answer to a claim, with the stored answer when DONE."""
+    """The response to a claim, with the stored answer if DONE."""
 
     verdict: Verdict
     answer: StoredAnswer | None = None
@@ -83,7 +83,7 @@
 class RecordFinish(
     msgspec.Struct, tag='record_finish', frozen=True, kw_only=True
 ):
-    """Stores an answer; None says that the outcome is unknown."""
+    """Stores a response; `answer` None means an unknown outcome."""
 
     region: ids.RegionName
     key: str
@@ -94,7 +94,7 @@
 class RecordRelease(
     msgspec.Struct, tag='record_release', frozen=True, kw_only=True
 ):
-    """Gives back a claim whose request did not run and will not."""
+    """Releases a claim whose request did not and will not run."""
 
     region: ids.RegionName
     key: str
@@ -102,7 +102,7 @@
 
 
 class RecordStream(msgspec.Struct, frozen=True, array_like=True):
-    """The writes of one incarnation of a primary.
+    """Identifies the writes of one incarnation of a primary.
 
     `since` is the generation in which it became primary.
     """
@@ -115,7 +115,7 @@
 class RecordReplicate(
     msgspec.Struct, tag='record_replicate', frozen=True, kw_only=True
 ):
-    """Writes of a stream that follow number `base`, for the backup."""
+    """Replicates to the backup the writes after write number `base`."""
 
     region: ids.RegionName
     generation: int
@@ -129,8 +129,8 @@
 ):
     """Part `index` of a full copy at write number `number`.
 
-    `copy` numbers the copies of a stream. The copy counts once the part
-    with `last` has been taken.
+    `copy` numbers the full copies of a stream. A copy is complete once
+    the backup has accepted the part with `last` set.
     """
 
     region: ids.RegionName
@@ -146,10 +146,10 @@
 class RecordProgress(
     msgspec.Struct, tag='record_progress', frozen=True, kw_only=True
 ):
-    """What a backup has: all writes up to `applied`.
+    """The replication progress of a backup: all writes up to `applied`.
 
-    `applied` is None when it has no full copy; then `next_index` is the
-    part of copy `copy` that it expects.
+    `applied` is None while the backup has no full copy; `next_index` is
+    then the part of copy `copy` that it expects next.
     """
 
     applied: int | None
--- a/fulmarseam/wire/_rows.py
+++ b/fulmarseam/wire/_rows.py
@@ -23,7 +23,7 @@
 class Route(msgspec.Struct, tag='route', frozen=True, kw_only=True):
     """Requests matched by host, path prefix and method, sent to a pool.
 
-    `methods` empty means all methods. `priority` 0 is served first. A
+    Empty `methods` means all methods. `priority` 0 is served first. A
     route with `idempotent` false runs each request at most once.
     """
 
@@ -42,9 +42,10 @@
 class Pool(msgspec.Struct, tag='pool', frozen=True, kw_only=True):
     """Targets that can serve the same requests.
 
-    `latency_weight` 0.0 puts headroom first and 1.0 latency first.
+    `latency_weight` 0.0 prefers headroom and 1.0 prefers low latency.
     `cold_factor` is the share of a cold target's slots that is used at
-    the start of `slow_start_s`. `retry_ratio` bounds retries to requests.
+    the start of `slow_start_s`. `retry_ratio` limits the ratio of retries
+    to requests.
     `request_bytes` and `response_bytes` are the expected sizes, used to
     plan inter-region traffic.
     """
@@ -62,7 +63,7 @@
 
 
 class Link(msgspec.Struct, tag='link', frozen=True, kw_only=True):
-    """One direction between two regions, with its limit in bytes/s.
+    """One direction between two regions and its limit in bytes/s.
 
     The name is `FROM>TO`.
     """
@@ -84,7 +85,7 @@
 
 
 class DrainScope(enum.Enum):
-    """What a drain empties."""
+    """The kinds of subjects that a drain takes out of service."""
 
     TARGET = 'target'
     DOMAIN = 'domain'
@@ -105,8 +106,8 @@
     """A planned drain.
 
     `start` is in seconds since the epoch. `subject` names the target,
-    failure domain, region or entry. A drain that is done stays in force
-    until it is cancelled.
+    failure domain, region or entry. A finished drain stays in effect until
+    it is cancelled.
     """
 
     name: str
@@ -129,9 +130,9 @@
 class Shift(msgspec.Struct, tag='shift', frozen=True, kw_only=True):
     """A planned move of a pool's traffic from one region to another.
 
-    `cap_percent` bounds the moved share of the requests that arrive for
-    the pool in `from_region`. `percent` is the share now in force. Times
-    are in seconds since the epoch.
+    `cap_percent` is the largest share of the requests arriving for the
+    pool in `from_region` that may be moved. `percent` is the current
+    share. `start` and `end` are in seconds since the epoch.
     """
 
     name: str
@@ -173,8 +174,8 @@
     """The incarnations of an entry that may hold grants.
 
     The leader registers an incarnation before it gives it the first grant,
-    so a new leader knows from whom it has to hear before it may share out
-    what nobody reports to hold.
+    so a new leader knows which incarnations must report before it may
+    grant what none of them reports to hold.
     """
 
     name: ids.EntryId
@@ -185,7 +186,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A row that was set, or removed when `row` is nothing."""
+    """A row that was set, or removed when `row` is None."""
 
     table: TableName
     key: str
--- a/fulmarseam/wire/_sync.py
+++ b/fulmarseam/wire/_sync.py
@@ -17,7 +17,7 @@
 
 
 class TargetLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Load as a target reports it; it may lag or mislead."""
+    """Load as reported by a target; may be outdated or wrong."""
 
     busy_slots: int
     queued: int = 0
@@ -58,7 +58,7 @@
 
 
 class LoadRow(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A newer load report of a target whose other facts are the same.
+    """A newer load report of a target that is otherwise unchanged.
 
     `age_ms` is the age of the load report at the moment of the answer.
     """
@@ -93,10 +93,11 @@
 
 
 class SlotUse(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What an entry holds on a target and has in flight there.
+    """An entry's grant on a target and its requests in flight there.
 
-    `allowance` and `connections` are what it may use now: zero once its
-    grant has expired. Array form keeps a sync with 44 targets small.
+    `allowance` and `connections` are the slots and connections that it may
+    use now: zero once its grant has expired. Array form keeps a sync with
+    44 targets small.
     """
 
     target: ids.TargetId
@@ -110,8 +111,8 @@
 
     `lease_ms` is the time left of the target's lease at the moment of the
     answer; the grant ends with the lease. Zero means that the leader has
-    not heard of the target yet and that the entry must not extend what it
-    holds. Array form keeps a sync with 44 targets small.
+    not heard of the target yet and that the entry must not extend its
+    current grant. Array form keeps a sync with 44 targets small.
     """
 
     target: ids.TargetId
@@ -132,7 +133,7 @@
 
 
 class LinkDemand(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Bytes/s that an entry holds on a link and would like to have."""
+    """Bytes/s that an entry holds on a link and bytes/s that it wants."""
 
     name: str
     held: int
@@ -156,16 +157,15 @@
 class SyncRequest(
     msgspec.Struct, tag='sync_request', frozen=True, kw_only=True
 ):
-    """An entry's report to the leader and its request for news.
-
-    `ack_term` and `ack_sequence` name the last grants applied, and
-    `ack_age_ms` tells how long ago that was. The answer may be held back
-    for `wait_ms` when there is no news. `record_copies` names the record
-    groups of which the entry holds a full copy. `entries_version` is that
-    of the entry rows it has, in the term `targets_term`; 0 asks for the
-    rows.
-    `doubtful` lists targets that fail the entry's requests; it gets slots
-    on them only when there are no others.
+    """An entry's report to the leader and its request for updates.
+
+    `ack_term` and `ack_sequence` identify the last grants applied, and
+    `ack_age_ms` is the time since then. The leader may delay the response
+    by up to `wait_ms` when there are no updates. `record_copies` lists the
+    record groups of which the entry holds a full copy. `entries_version`
+    is the version of the entry rows that it holds, in term `targets_term`;
+    0 asks for all rows. `doubtful` lists targets on which the entry's
+    requests fail; it gets slots on them only when there are no others.
     """
 
     info: EntryInfo
@@ -190,13 +190,13 @@
 class SyncResponse(
     msgspec.Struct, tag='sync_response', frozen=True, kw_only=True
 ):
-    """The leader's news for one entry.
+    """The leader's updates for one entry.
 
     `leadership_age_ms` is the time since a majority last confirmed the
     leader. `changes` brings the entry from its revision to `revision`;
     with `full` they replace all tables and `blocks` is the image of the
-    blocks table. The rows of targets and entries are differences too, or
-    replace all rows with `targets_full` and `entries_full`. `grants` and
+    blocks table. The rows of targets and entries are also differences; with
+    `targets_full` or `entries_full` they replace all rows. `grants` and
     `links` replace what the entry held and are valid for `grant_ttl_ms`
     from the moment it sent the request.
     """
