--- a/fulmarseam/errors/_exceptions.py
+++ b/fulmarseam/errors/_exceptions.py
@@ -64,7 +64,7 @@
 
 
 class NotLeaderError(FulmarseamError):
-    """The member is not the leader and has appended nothing.
+    """The member is not the leader and did not append anything.
 
     `leader` is the id of the leader, when known.
     """
@@ -77,7 +77,7 @@
 
 
 class ProposalUncertainError(FulmarseamError):
-    """A proposal was appended but its fate is not known."""
+    """A proposal was appended but may or may not be committed."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(ErrorKind.PROPOSAL_UNCERTAIN, detail)
--- a/fulmarseam/settings/_catalog.py
+++ b/fulmarseam/settings/_catalog.py
@@ -13,7 +13,7 @@
 
 
 def _list_peers(seeds: list[str], peer_port: int) -> tuple[str, ...]:
-    """Return the addresses at which the members at the seeds are called."""
+    """Return the peer addresses of the members at the seeds."""
     return tuple(f'{seed.rpartition(":")[0]}:{peer_port}' for seed in seeds)
 
 
@@ -22,9 +22,10 @@
     """Settings of a control member of a catalog group.
 
     `listen` is for the other processes, `api` for operators and targets,
-    `lookups` for callers. Other processes call `advertise` where it differs
-    from `listen`, as behind a proxy. `seeds` are the `api` addresses of some
-    members, whom other processes call at the port `peer_port`. `first_start`
+    `lookups` for callers. `advertise` is the address that other processes
+    call if it differs from `listen`, as behind a proxy. `seeds` are the `api`
+    addresses of some members; other processes connect to the port
+    `peer_port` of these members. `first_start`
     is set when the whole system starts for the first time. `domains` maps
     failure domains to regions.
     """
@@ -54,11 +55,11 @@
 
     @property
     def wanted_voters(self) -> int:
-        """Return the members with which the tolerated losses are borne."""
+        """Return the voters needed to keep a quorum after the losses."""
         return 2 * self.tolerated_hosts + 1
 
     def list_peers(self) -> tuple[str, ...]:
-        """Return the addresses at which the seeds are called."""
+        """Return the peer addresses of the seeds."""
         return _list_peers(self.seeds, self.peer_port)
 
 
@@ -94,5 +95,5 @@
     log_level: str = _option(_levels(), 'info')
 
     def list_peers(self) -> tuple[str, ...]:
-        """Return the addresses at which the seeds are called."""
+        """Return the peer addresses of the seeds."""
         return _list_peers(self.seeds, self.peer_port)
--- a/fulmarseam/settings/_control.py
+++ b/fulmarseam/settings/_control.py
@@ -53,7 +53,7 @@
     trace_ratio: float = _option(_options.number(0.0, 1.0), 1.0)
 
     def find_problems(self) -> list[str]:
-        """Return a line for each pair of settings that do not fit."""
+        """Return a line for each set of inconsistent settings."""
         problems = []
         if self.election_min_ms < 3 * self.heartbeat_ms:
             problems.append(
--- a/fulmarseam/settings/_entry.py
+++ b/fulmarseam/settings/_entry.py
@@ -14,8 +14,8 @@
 
     `listen` serves callers, `api` serves look-ups, announcements and
     metrics, and `rpc` serves the other processes of the system. The
-    `advertise` addresses are what others are told; they default to the
-    addresses listened on.
+    `advertise` addresses are published to the other parties; they
+    default to the listen addresses.
     """
 
     entry_id: ids.EntryId = _option(_options.identifier())
--- a/fulmarseam/settings/_faultproxy.py
+++ b/fulmarseam/settings/_faultproxy.py
@@ -39,7 +39,7 @@
     log_file: str | None = _option(_options.optional(_options.text()), None)
 
     def find_problems(self) -> list[str]:
-        """Return a line for each name that is used twice."""
+        """Return a line for each duplicate name."""
         names = collections.Counter(item.name for item in self.forwards)
         return [
             _options.describe_problem(
--- a/fulmarseam/settings/_load.py
+++ b/fulmarseam/settings/_load.py
@@ -72,7 +72,7 @@
     log_file: str | None = _option(_options.optional(_options.text()), None)
 
     def find_problems(self) -> list[str]:
-        """Return a line for each pair of settings that do not fit."""
+        """Return a line for each set of inconsistent settings."""
         problems = []
         if bool(self.entries) == bool(self.direct):
             problems.append(
@@ -83,7 +83,7 @@
         if not any(route.weight for route in self.routes):
             problems.append(
                 _options.describe_problem(
-                    'routes', 'weights of 0', 'one weight over 0'
+                    'routes', 'weights of 0', 'at least one weight above 0'
                 )
             )
         return problems
--- a/fulmarseam/settings/_options.py
+++ b/fulmarseam/settings/_options.py
@@ -35,7 +35,7 @@
     return f'{key}: found {found!r}, expected {expected}'
 
 
-def reject(key: str, found: Any, expected: str) -> InvalidValueError:
+def invalid_value(key: str, found: Any, expected: str) -> InvalidValueError:
     """Return the error for one wrong setting."""
     return InvalidValueError([describe_problem(key, found, expected)])
 
@@ -58,7 +58,9 @@
 
     def check(key: str, value: Any) -> str:
         if not isinstance(value, str) or not 0 < len(value) <= max_length:
-            raise reject(key, value, f'a text of 1 to {max_length} characters')
+            raise invalid_value(
+                key, value, f'a text of 1 to {max_length} characters'
+            )
         return value
 
     return check
@@ -69,7 +71,7 @@
 
     def check(key: str, value: Any) -> str:
         if not isinstance(value, str) or not _IDENTIFIER.fullmatch(value):
-            raise reject(
+            raise invalid_value(
                 key, value, 'a name of letters a-z, digits, "-" and "_"'
             )
         return value
@@ -83,7 +85,7 @@
     def check(key: str, value: Any) -> int:
         is_integer = isinstance(value, int) and not isinstance(value, bool)
         if not is_integer or not minimum <= value <= maximum:
-            raise reject(
+            raise invalid_value(
                 key, value, f'a whole number from {minimum} to {maximum}'
             )
         return int(value)
@@ -99,7 +101,9 @@
             value, bool
         )
         if not is_number or not minimum <= value <= maximum:
-            raise reject(key, value, f'a number from {minimum} to {maximum}')
+            raise invalid_value(
+                key, value, f'a number from {minimum} to {maximum}'
+            )
         return float(value)
 
     return check
@@ -114,10 +118,10 @@
     def check(key: str, value: Any) -> float:
         match = _DURATION.fullmatch(value) if isinstance(value, str) else None
         if match is None:
-            raise reject(key, value, expected)
+            raise invalid_value(key, value, expected)
         seconds = float(match[1]) * _SECONDS_PER_UNIT[match[2]]
         if not minimum_s <= seconds <= maximum_s:
-            raise reject(key, value, expected)
+            raise invalid_value(key, value, expected)
         return seconds
 
     return check
@@ -128,7 +132,7 @@
 
     def check(key: str, value: Any) -> bool:
         if not isinstance(value, bool):
-            raise reject(key, value, 'true or false')
+            raise invalid_value(key, value, 'true or false')
         return value
 
     return check
@@ -139,7 +143,7 @@
 
     def check(key: str, value: Any) -> str:
         if value not in allowed:
-            raise reject(key, value, 'one of ' + ', '.join(allowed))
+            raise invalid_value(key, value, 'one of ' + ', '.join(allowed))
         return str(value)
 
     return check
@@ -151,14 +155,14 @@
 
     def check(key: str, value: Any) -> str:
         if not isinstance(value, str):
-            raise reject(key, value, expected)
+            raise invalid_value(key, value, expected)
         host, _, port = value.rpartition(':')
         try:
             ipaddress.ip_address(host.removeprefix('[').removesuffix(']'))
         except ValueError:
-            raise reject(key, value, expected) from None
+            raise invalid_value(key, value, expected) from None
         if not port.isdigit() or not 1 <= int(port) <= 65535:
-            raise reject(key, value, expected)
+            raise invalid_value(key, value, expected)
         return value
 
     return check
@@ -178,7 +182,9 @@
 
     def check(key: str, value: Any) -> list[Any]:
         if not isinstance(value, list) or len(value) < min_length:
-            raise reject(key, value, f'a list of {min_length} or more items')
+            raise invalid_value(
+                key, value, f'a list of {min_length} or more items'
+            )
         return _collect(
             (f'{key}[{position}]', item) for position, item in enumerate(value)
         )
@@ -203,7 +209,7 @@
 
     def check(key: str, value: Any) -> dict[Any, Any]:
         if not isinstance(value, Mapping) or len(value) < min_length:
-            raise reject(
+            raise invalid_value(
                 key, value, f'a mapping of {min_length} or more entries'
             )
         checked: dict[Any, Any] = {}
@@ -226,7 +232,7 @@
 
     def check(key: str, value: Any) -> Any:
         if not isinstance(value, Mapping):
-            raise reject(key, value, 'a mapping')
+            raise invalid_value(key, value, 'a mapping')
         return check_section(schema, value, f'{key}.')
 
     return check
@@ -261,7 +267,7 @@
     if problems:
         raise InvalidValueError(problems)
     settings = schema(**checked)
-    _check_whole(settings)
+    _check_dependent_values(settings)
     return settings
 
 
@@ -272,8 +278,8 @@
     )
 
 
-def _check_whole(settings: Any) -> None:
-    """Run the schema's own check of values that depend on each other."""
+def _check_dependent_values(settings: Any) -> None:
+    """Check values that depend on each other with `find_problems`."""
     find_problems = getattr(settings, 'find_problems', None)
     if find_problems is None:
         return
--- a/tests/test_configuration_page.py
+++ b/tests/test_configuration_page.py
@@ -33,7 +33,7 @@
 
 
 class CatalogPageTest(unittest.TestCase):
-    """Guards against a page of a catalog group that is out of date."""
+    """Guards against catalog settings missing from the page."""
 
     def test_every_setting_is_listed(self) -> None:
         parts = CATALOG_PAGE.split('\n## ')
@@ -50,7 +50,7 @@
 
 
 class ConfigurationPageTest(unittest.TestCase):
-    """Guards against a page that says other than the code."""
+    """Guards against settings missing from the page and invalid examples."""
 
     def test_every_setting_is_listed(self) -> None:
         for schema in (
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,7 +17,7 @@
 
 
 class ReadSettingsTest(unittest.TestCase):
-    """Guards against wrong settings that pass unnoticed."""
+    """Guards against invalid settings that are accepted."""
 
     def test_valid_file_gets_defaults(self) -> None:
         loaded = settings.parse_settings(VALID, settings.EntrySettings)
